--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -14,35 +14,36 @@
 namespace mangofold::decision
 {
 
-/// One call to make: at most as many pieces as the service allows.
+/// A batched call to one target, with at most as many pieces as the service
+/// allows.
 struct planned_call
 {
     target_start target;
     std::vector<piece_ref> pieces;
     duration expected{};
-    std::uint64_t bytes = 0; ///< Of its results.
+    std::uint64_t bytes = 0; ///< Estimated size of the results.
 
     friend bool operator==(const planned_call&, const planned_call&) = default;
 };
 
-/// What is known of the stages after this one.
+/// Estimates for the stages that follow the planner's own stage.
 struct outlook
 {
-    /// Returns the time that the stages after a job's own will take, where
-    /// its own takes \a call; \a is_late as at later_work::wait_at().
+    /// Returns the time that the downstream stages of a job will take if its
+    /// own stage takes \a call; for \a is_late see later_work::wait_at().
     std::function<duration(const piece_job&, duration call, bool is_late)>
         time_after = [](const piece_job&, duration, bool)
     { return duration::zero(); };
-    /// Whether a request that no stage was made of yet may begin now.
+    /// Whether a request of which no stage was made yet may start now.
     std::function<bool(const piece_job&, duration call)> may_begin =
         [](const piece_job&, duration) { return true; };
 };
 
-/// Forms the calls of one stage service from the pieces of all requests.
+/// Batches the pieces of all requests into calls to one stage service.
 ///
-/// A call costs its fixed time whatever it holds, so capacity is a matter of
-/// full calls: none is sent to wait behind another, and each is formed when
-/// its target is free, from whatever is most urgent then.
+/// Each call has a fixed cost, so throughput depends on full calls. The
+/// planner therefore never queues a call behind another one: it forms a call
+/// only when a target is free, from the most urgent pieces at that time.
 class call_planner
 {
 public:
@@ -51,80 +52,84 @@
     void set_shape(const catalog::call_shape& shape) { m_shape = shape; }
     const catalog::call_shape& shape() const { return m_shape; }
 
-    /// Sets which targets may get calls, with their zones.
+    /// Sets the targets that may get calls, with their zones.
     void set_targets(const std::map<target_start, std::string>& zones);
 
-    /// Adds a job. Its number must be new.
+    /// Adds a job. Its number must be unused.
     void add(piece_job job);
 
-    /// Takes a job out that nobody waits for any more.
+    /// Removes a job whose result is no longer wanted.
     void cancel(std::uint64_t number);
 
-    /// Returns the next call to make now, if there is one.
+    /// Returns the next call to make at \a now, or nothing.
     std::optional<planned_call> next_call(instant now,
-                                          const outlook& later = {});
+                                          const outlook& downstream = {});
 
-    /// Notes how a call ended: answered after \a took, ...
+    /// Records that \a call was answered after \a took.
     void call_done(const planned_call& call, duration took, instant now);
-    /// ... refused since its queue is full, or without an answer, ...
+    /// Records that \a call failed without running, or that the target refused
+    /// it because its queue \a is_full.
     void call_failed(const planned_call& call, bool is_full, instant now);
-    /// ... and of one without an answer, that it may have been made: its
-    /// results then lie there until their time is over.
+    /// Records that \a call got no answer but may have run: its results then
+    /// occupy the target's memory until they expire.
     void call_lost(const planned_call& call, instant now);
 
-    /// ... and each of its pieces: made, ...
+    /// Records that \a target made \a piece and stored the result as
+    /// \a handle.
     void piece_made(const piece_ref& piece, const target_start& target,
                     const std::string& handle, instant now);
-    /// ... or to be made again.
+    /// Puts \a piece back among the waiting ones.
     void piece_lost(const piece_ref& piece);
-    /// Notes that the target of \a call ended while it was made.
+    /// Records that the target of \a call may have crashed because of it.
     void note_target_ended(const planned_call& call);
-    /// Notes that \a target had no room for a result.
+    /// Records that \a target had no memory left for a result.
     void no_room(const target_start& target, instant now);
 
-    /// Notes that a result no longer takes room at \a target, its maker.
+    /// Records that the result \a handle, made by \a target, was released.
     void released(const target_start& target, const std::string& handle);
 
-    /// Takes the jobs whose results are all there, with the results in the
-    /// order of the pieces.
+    /// A job removed from the planner, with the handles of the results made so
+    /// far in the order of the pieces.
     struct finished_job
     {
         piece_job job;
         std::vector<std::string> handles;
     };
+    /// Removes and returns the jobs of which all results are available.
     std::vector<finished_job> take_finished();
 
-    /// Takes the jobs whose time is over, with what was made of them.
+    /// Removes and returns the jobs that can no longer be done in time.
     std::vector<finished_job> take_expired(instant now,
-                                           const outlook& later = {});
+                                           const outlook& downstream = {});
 
-    /// Takes a job out with what was made of it.
+    /// Removes and returns the job \a number, or returns nothing.
     std::optional<finished_job> take(std::uint64_t number);
 
-    /// Returns the job numbered \a number, or nothing.
+    /// Returns the job \a number, or null.
     const piece_job* find(std::uint64_t number) const;
 
-    /// Whether pieces of the job \a number are in no call yet.
+    /// Whether the job \a number has pieces that are in no call yet.
     bool has_waiting(std::uint64_t number) const;
 
-    /// Whether pieces of the job \a number are in a call now.
+    /// Whether the job \a number has pieces in a call now.
     bool is_under_way(std::uint64_t number) const;
 
-    /// Returns the expected time until a new job would be begun; one that
-    /// can be in time goes before those that will be late.
+    /// Returns the expected time until a new job would start. A job that can
+    /// be on time goes ahead of those that will be late.
     duration expected_wait(instant now, bool is_late = true) const;
 
-    /// Returns the time that a call takes, by those that were made.
+    /// Returns the moving average of the duration of calls.
     duration usual_call() const;
 
-    /// Returns the time of the whole service that one piece takes, all calls
-    /// being full; the longest where no target can take any.
+    /// Returns the time per piece at the throughput of the whole service with
+    /// full calls; a call's fixed time if no target can take calls.
     duration time_of_piece(instant now) const;
 
-    /// Returns the bytes of results that are kept at all targets.
+    /// Returns the bytes of the results stored at all targets.
     std::uint64_t kept_bytes() const;
 
     std::size_t waiting_pieces() const { return m_waiting_pieces; }
+    /// Returns the number of waiting pieces of jobs that can be on time.
     std::size_t waiting_in_time() const;
     std::size_t waiting_jobs() const { return m_jobs.size(); }
 
@@ -132,9 +137,9 @@
     struct job_state
     {
         piece_job job;
-        std::vector<std::uint32_t> waiting; ///< Pieces not under way.
-        std::map<std::uint32_t, std::string> made;
-        std::uint32_t targets_ended = 0; ///< While they made pieces of it.
+        std::vector<std::uint32_t> waiting; ///< Pieces that are in no call.
+        std::map<std::uint32_t, std::string> made; ///< Handles, by piece.
+        std::uint32_t crashes = 0; ///< Suspected ones, see note_target_ended().
 
         bool is_under_way() const
         {
@@ -145,25 +150,26 @@
     duration expected_time(const stage_target& target,
                            std::size_t pieces) const;
     std::vector<stage_target*> free_targets(instant now);
-    bool is_trial(const stage_target& target, instant now) const;
-    bool is_worth_waiting(const stage_target& target, instant now) const;
+    bool is_probe_due(const stage_target& target, instant now) const;
+    bool has_faster_alternative(const stage_target& target, instant now) const;
     bool waits_for_zone(const piece_job& job, const stage_target& target,
                         instant now) const;
-    std::vector<job_state*> in_order(const stage_target& target, instant now,
-                                     const outlook& later);
-    bool may_share(const job_state& one, const planned_call& call) const;
+    std::vector<job_state*> jobs_by_urgency(const stage_target& target,
+                                            instant now,
+                                            const outlook& downstream);
+    bool may_join(const job_state& state, const planned_call& call) const;
     void fill(planned_call& call, stage_target& target, instant now,
-              const outlook& later);
-    void lose_results(const stage_target& maker);
-    finished_job taken(std::map<std::uint64_t, job_state>::iterator one);
+              const outlook& downstream);
+    void requeue_results_of(const stage_target& maker);
+    finished_job remove(std::map<std::uint64_t, job_state>::iterator entry);
 
     catalog::call_shape m_shape;
     std::map<target_start, stage_target> m_targets;
     std::map<std::uint64_t, job_state> m_jobs;
     std::vector<std::uint64_t> m_finished;
     std::size_t m_waiting_pieces = 0;
-    std::uint64_t m_lost_calls = 0;
-    double m_usual_call_ns = 0; ///< Moving average; 0 before the first.
+    std::uint64_t m_unanswered_calls = 0;
+    double m_average_call_ns = 0; ///< Moving average; 0 before the first call.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/call_planner_estimates.cpp
+++ b/packages/decision/call_planner_estimates.cpp
@@ -9,15 +9,15 @@
 {
     std::uint64_t sum = 0;
     for (const auto& [id, target] : m_targets)
-        sum += target.kept_bytes;
+        sum += target.stored_bytes;
     return sum;
 }
 
 duration call_planner::usual_call() const
 {
-    return m_usual_call_ns == 0
+    return m_average_call_ns == 0
                ? m_shape.per_call
-               : duration(static_cast<duration::rep>(m_usual_call_ns));
+               : duration(static_cast<duration::rep>(m_average_call_ns));
 }
 
 duration call_planner::time_of_piece(instant now) const
@@ -25,7 +25,7 @@
     double pieces_per_ns = 0;
     for (const auto& [id, target] : m_targets)
     {
-        if (target.aside_until > now)
+        if (target.backoff_until > now)
             continue;
         const auto time = expected_time(target, m_shape.most_pieces);
         pieces_per_ns += static_cast<double>(m_shape.most_pieces) *
@@ -51,11 +51,13 @@
     for (const auto& [id, target] : m_targets)
         first_free =
             std::min(first_free,
-                     target.running >= m_shape.slots || target.aside_until > now
-                         ? std::max({target.free_at, target.aside_until, now})
+                     target.calls_in_progress >= m_shape.slots ||
+                             target.backoff_until > now
+                         ? std::max({target.free_at, target.backoff_until, now})
                          : now);
-    const std::size_t ahead = is_late ? m_waiting_pieces : waiting_in_time();
-    return time_of_piece(now) * static_cast<duration::rep>(ahead) +
+    const std::size_t pieces_ahead =
+        is_late ? m_waiting_pieces : waiting_in_time();
+    return time_of_piece(now) * static_cast<duration::rep>(pieces_ahead) +
            (first_free - now);
 }
 
--- a/packages/decision/call_planner_jobs.cpp
+++ b/packages/decision/call_planner_jobs.cpp
@@ -6,14 +6,14 @@
 {
 
 call_planner::finished_job
-call_planner::taken(std::map<std::uint64_t, job_state>::iterator one)
+call_planner::remove(std::map<std::uint64_t, job_state>::iterator entry)
 {
-    m_waiting_pieces -= one->second.waiting.size();
-    finished_job job{std::move(one->second.job), {}};
-    for (auto& [piece, handle] : one->second.made)
-        job.handles.push_back(std::move(handle));
-    m_jobs.erase(one);
-    return job;
+    m_waiting_pieces -= entry->second.waiting.size();
+    finished_job removed{std::move(entry->second.job), {}};
+    for (auto& [piece, handle] : entry->second.made)
+        removed.handles.push_back(std::move(handle));
+    m_jobs.erase(entry);
+    return removed;
 }
 
 std::optional<call_planner::finished_job>
@@ -22,7 +22,7 @@
     const auto found = m_jobs.find(number);
     if (found == m_jobs.end())
         return std::nullopt;
-    return taken(found);
+    return remove(found);
 }
 
 void call_planner::cancel(std::uint64_t number)
@@ -57,7 +57,7 @@
         job == m_jobs.end() ? 0 : job->second.job.result_bytes;
     const auto maker = m_targets.find(target);
     if (maker != m_targets.end())
-        maker->second.keep(handle, bytes, now + m_shape.result_lifetime);
+        maker->second.store(handle, bytes, now + m_shape.result_lifetime);
     if (job == m_jobs.end())
         return;
     job->second.made[piece.piece] = handle;
@@ -79,11 +79,11 @@
     std::set<std::uint64_t> numbers;
     for (const piece_ref& piece : call.pieces)
         numbers.insert(piece.job);
-    for (const std::uint64_t one : numbers)
+    for (const std::uint64_t number : numbers)
     {
-        const auto job = m_jobs.find(one);
+        const auto job = m_jobs.find(number);
         if (job != m_jobs.end())
-            ++job->second.targets_ended;
+            ++job->second.crashes;
     }
 }
 
@@ -106,20 +106,20 @@
 }
 
 std::vector<call_planner::finished_job>
-call_planner::take_expired(instant now, const outlook& later)
+call_planner::take_expired(instant now, const outlook& downstream)
 {
     std::vector<finished_job> jobs;
-    for (auto one = m_jobs.begin(); one != m_jobs.end();)
+    for (auto entry = m_jobs.begin(); entry != m_jobs.end();)
     {
-        const auto next = std::next(one);
-        const job_state& state = one->second;
+        const auto next = std::next(entry);
+        const job_state& state = entry->second;
         if (!state.is_under_way() &&
             state.job.expires < now + m_shape.per_call +
-                                    later.time_after(state.job,
-                                                     m_shape.per_call,
-                                                     state.job.is_late))
-            jobs.push_back(taken(one));
-        one = next;
+                                    downstream.time_after(state.job,
+                                                          m_shape.per_call,
+                                                          state.job.is_late))
+            jobs.push_back(remove(entry));
+        entry = next;
     }
     return jobs;
 }
--- a/packages/decision/call_planner_targets.cpp
+++ b/packages/decision/call_planner_targets.cpp
@@ -8,28 +8,28 @@
 namespace
 {
 
-/// Whether a start other than \a one stands under its id in \a all.
+/// Whether \a listed holds another start of the target of \a start.
 template<typename Map>
-bool is_reborn(const target_start& one, const Map& all)
+bool has_restarted(const target_start& start, const Map& listed)
 {
-    const auto same = all.lower_bound(target_start(one.id, 0));
-    return same != all.end() && same->first.id == one.id &&
-           same->first.born != one.born;
+    const auto found = listed.lower_bound(target_start(start.id, 0));
+    return found != listed.end() && found->first.id == start.id &&
+           found->first.born != start.born;
 }
 
 } // namespace
 
-// A target that is gone from the list may go on for a while and keep what it
-// made; one that started again under its id has nothing of it. Pieces with
-// such inputs would all be refused, a call's time later.
-void call_planner::lose_results(const stage_target& maker)
+// A target that is no longer listed may go on running for a while and keep its
+// results; a target that restarted under the same id has lost them. Pieces of
+// downstream stages with such inputs would be refused, one call's time later.
+void call_planner::requeue_results_of(const stage_target& maker)
 {
-    for (auto& job : m_jobs)
+    for (auto& entry : m_jobs)
     {
-        job_state& state = job.second;
+        job_state& state = entry.second;
         const auto is_lost = [&](const auto& made)
         {
-            if (!maker.kept.contains(made.second))
+            if (!maker.stored.contains(made.second))
                 return false;
             state.waiting.push_back(made.first);
             ++m_waiting_pieces;
@@ -41,21 +41,21 @@
 
 void call_planner::set_targets(const std::map<target_start, std::string>& zones)
 {
-    for (auto one = m_targets.begin(); one != m_targets.end();)
+    for (auto entry = m_targets.begin(); entry != m_targets.end();)
     {
-        if (zones.contains(one->first))
+        if (zones.contains(entry->first))
         {
-            ++one;
+            ++entry;
             continue;
         }
-        if (is_reborn(one->first, zones))
-            lose_results(one->second);
-        one = m_targets.erase(one);
+        if (has_restarted(entry->first, zones))
+            requeue_results_of(entry->second);
+        entry = m_targets.erase(entry);
     }
-    for (const auto& [id, zone] : zones)
+    for (const auto& [start, zone] : zones)
     {
-        stage_target& target = m_targets[id];
-        target.start = id;
+        stage_target& target = m_targets[start];
+        target.start = start;
         target.zone = zone;
     }
 }
--- a/packages/decision/engine_choice.cpp
+++ b/packages/decision/engine_choice.cpp
@@ -9,45 +9,46 @@
 namespace
 {
 
-/// How long a part is taken to stay at an engine after its last use; engines
-/// drop the least recently used first.
-constexpr duration kept_time = std::chrono::seconds(30);
+/// How long a segment is assumed to stay in an engine's cache after its last
+/// use. Engines evict the least recently used segments first.
+constexpr duration cache_lifetime = std::chrono::seconds(30);
 
-/// Parts remembered of one engine before old ones are looked for.
-constexpr std::size_t many_parts = 2048;
+/// Number of recorded segments of an engine from which old ones are pruned.
+constexpr std::size_t prune_threshold = 2048;
 
-/// What a running generation costs new ones, in tokens to read: its share of
-/// each step.
+/// Cost of a running generation to a new one, in prefill tokens: its share of
+/// each step of the engine.
 constexpr double running_cost = 60;
 
-/// What a byte costs that an engine fetches from another zone, in tokens to
-/// read: a megabyte as much as 800 tokens. It keeps large results in their
-/// zone where that costs little reading.
-constexpr double cross_zone_cost = 800.0 / (1 << 20U);
-
-/// What sending to another zone costs by itself, in tokens to read: the way
-/// there and back takes as long.
-constexpr double other_zone_cost = 150;
-
-/// A part is looked for at the engine that all entries choose for it, and
-/// counted as kept there by this share: the others may have put it there.
-constexpr double home_share = 0.6;
-
-/// Returns what reading costs at the home of a prompt, where it costs
-/// \a unkept by what this entry knows. What so many name that it is kept at
-/// several engines is surely there, and an engine that this entry knows to
-/// keep it must not draw all that it sends.
-double home_cost(double unkept, bool is_one_of_many, double shared_tokens,
-                 const generation& work)
+/// Cost of each byte that an engine fetches from another zone, in prefill
+/// tokens: 800 tokens for a megabyte. Large results then stay in their zone
+/// where that costs little extra prefill.
+constexpr double cross_zone_byte_cost = 800.0 / (1 << 20U);
+
+/// Cost of sending the request to another zone, in prefill tokens: the round
+/// trip takes as long as reading them.
+constexpr double remote_zone_cost = 150;
+
+/// Share of the prompt's shared tokens that count as cached at the engine that
+/// all entries prefer for them: other entries may have sent them there.
+constexpr double affinity_hit_share = 0.6;
+
+/// Returns the prefill cost at the preferred engine of a prompt, where
+/// \a uncached_tokens is the cost by what this entry has sent there. Segments
+/// used often enough for several engines are certainly cached at each of them;
+/// an engine to which this entry has sent the segments before must not attract
+/// all of the entry's requests.
+double preferred_engine_cost(double uncached_tokens, bool is_replicated,
+                             double shared_tokens, const generation& work)
 {
-    const double read = is_one_of_many
-                            ? static_cast<double>(work.prompt.back().tokens)
-                            : unkept;
-    return read - home_share * shared_tokens;
+    const double prefill = is_replicated
+                               ? static_cast<double>(work.prompt.back().tokens)
+                               : uncached_tokens;
+    return prefill - affinity_hit_share * shared_tokens;
 }
 
-constexpr duration first_aside = std::chrono::milliseconds(300);
-constexpr std::uint32_t most_doublings = 4;
+constexpr duration initial_backoff = std::chrono::milliseconds(300);
+constexpr std::uint32_t max_backoff_doublings = 4;
 
 } // namespace
 
@@ -56,17 +57,17 @@
 {
     const auto found = m_engines.find(id);
     double tokens = 0;
-    bool is_kept = found != m_engines.end();
-    for (const shared_part& part : work.prompt)
+    bool is_cached = found != m_engines.end();
+    for (const shared_part& segment : work.prompt)
     {
-        if (is_kept)
+        if (is_cached)
         {
-            const auto kept = found->second.kept.find(part.id);
-            is_kept = kept != found->second.kept.end() &&
-                      kept->second + kept_time > now;
+            const auto cached = found->second.last_used.find(segment.id);
+            is_cached = cached != found->second.last_used.end() &&
+                        cached->second + cache_lifetime > now;
         }
-        if (!is_kept)
-            tokens += part.tokens;
+        if (!is_cached)
+            tokens += segment.tokens;
     }
     return tokens;
 }
@@ -77,91 +78,93 @@
                       const generation& work, const std::string& zone,
                       instant now)
 {
-    const prompt_homes::home home =
-        m_homes.home_of(candidates, work.prompt, now);
-    double home_tokens = 0;
-    for (std::size_t at = 0; at + 1 < work.prompt.size(); ++at)
-        home_tokens += work.prompt[at].tokens;
+    const prompt_homes::home preferred =
+        m_affinity.home_of(candidates, work.prompt, now);
+    double shared_tokens = 0;
+    for (std::size_t index = 0; index + 1 < work.prompt.size(); ++index)
+        shared_tokens += work.prompt[index].tokens;
     const listed_target* best = nullptr;
     double least = 0;
-    for (const listed_target* one : candidates)
+    for (const listed_target* candidate : candidates)
     {
-        if (tried.contains(one->start))
+        if (tried.contains(candidate->start))
             continue;
-        double cost = uncached(one->start, work, now);
-        if (one == home.engine)
-            cost = home_cost(cost, home.is_one_of_many, home_tokens, work);
-        const auto known = m_engines.find(one->start);
+        double cost = uncached(candidate->start, work, now);
+        if (candidate == preferred.engine)
+            cost = preferred_engine_cost(cost, preferred.is_replicated,
+                                         shared_tokens, work);
+        const auto known = m_engines.find(candidate->start);
         if (known != m_engines.end())
         {
-            cost += known->second.ahead;
+            cost += known->second.queued_tokens;
             cost += running_cost * known->second.running;
-            if (known->second.aside_until > now)
-                cost += 1e9; // Only where all are set aside.
+            if (known->second.backoff_until > now)
+                cost += 1e9; // Chosen only if all candidates are backed off.
         }
-        for (const auto& [from, bytes] : work.inputs)
-            if (from != one->zone)
-                cost += cross_zone_cost * static_cast<double>(bytes);
-        if (one->zone != zone)
-            cost += other_zone_cost;
+        for (const auto& [source_zone, bytes] : work.inputs)
+            if (source_zone != candidate->zone)
+                cost += cross_zone_byte_cost * static_cast<double>(bytes);
+        if (candidate->zone != zone)
+            cost += remote_zone_cost;
         if (best != nullptr && cost >= least)
             continue;
-        best = one;
+        best = candidate;
         least = cost;
     }
     return best;
 }
 
-void engine_choice::forget_old(engine& one, instant now)
+void engine_choice::prune(engine_state& engine, instant now)
 {
-    if (one.kept.size() < many_parts)
+    if (engine.last_used.size() < prune_threshold)
         return;
-    std::erase_if(one.kept, [now](const auto& part)
-                  { return part.second + kept_time <= now; });
+    std::erase_if(engine.last_used, [now](const auto& segment)
+                  { return segment.second + cache_lifetime <= now; });
 }
 
 double engine_choice::note_sent(const target_start& id, const generation& work,
                                 instant now)
 {
     const double tokens = uncached(id, work, now);
-    engine& one = m_engines[id];
-    forget_old(one, now);
-    for (const shared_part& part : work.prompt)
-        one.kept[part.id] = now;
-    one.ahead += tokens;
-    ++one.running;
-    m_homes.note_placed(work.prompt, tokens + running_cost, now);
+    engine_state& engine = m_engines[id];
+    prune(engine, now);
+    for (const shared_part& segment : work.prompt)
+        engine.last_used[segment.id] = now;
+    engine.queued_tokens += tokens;
+    ++engine.running;
+    m_affinity.note_placed(work.prompt, tokens + running_cost, now);
     return tokens;
 }
 
 void engine_choice::note_read(const target_start& id, double tokens)
 {
-    engine& one = m_engines[id];
-    one.ahead = std::max(0.0, one.ahead - tokens);
+    engine_state& engine = m_engines[id];
+    engine.queued_tokens = std::max(0.0, engine.queued_tokens - tokens);
 }
 
 void engine_choice::note_ended(const target_start& id)
 {
-    engine& one = m_engines[id];
-    one.running -= one.running > 0 ? 1 : 0;
+    engine_state& engine = m_engines[id];
+    engine.running -= engine.running > 0 ? 1 : 0;
 }
 
 void engine_choice::note_failed(const target_start& id, bool is_refusal,
                                 instant now)
 {
-    engine& one = m_engines[id];
+    engine_state& engine = m_engines[id];
     if (!is_refusal)
-        one.kept.clear();
-    one.failures += 1;
-    const std::uint32_t doublings = std::min(one.failures - 1, most_doublings);
-    one.aside_until = now + first_aside * (1U << doublings);
+        engine.last_used.clear();
+    engine.consecutive_failures += 1;
+    const std::uint32_t doublings =
+        std::min(engine.consecutive_failures - 1, max_backoff_doublings);
+    engine.backoff_until = now + initial_backoff * (1U << doublings);
 }
 
 void engine_choice::note_answered(const target_start& id)
 {
-    engine& one = m_engines[id];
-    one.failures = 0;
-    one.aside_until = {};
+    engine_state& engine = m_engines[id];
+    engine.consecutive_failures = 0;
+    engine.backoff_until = {};
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/engine_choice.hpp
+++ b/packages/decision/engine_choice.hpp
@@ -14,7 +14,7 @@
 namespace mangofold::decision
 {
 
-/// A generation to be placed at a model engine.
+/// A text generation to be placed at a model engine.
 struct generation
 {
     std::vector<shared_part> prompt;
@@ -24,51 +24,57 @@
     friend bool operator==(const generation&, const generation&) = default;
 };
 
-/// Chooses engines by the prompt tokens that they would have to read before
-/// the first token: those of the prompt they do not keep, and those ahead.
+/// Selects the model engine for a generation.
+///
+/// An engine's cost is the number of prompt tokens that it has to read
+/// (prefill) before the first output token: the tokens of the prompt that are
+/// not in its cache and those of the generations queued ahead. Other costs,
+/// such as fetching results from another zone, are expressed in prefill tokens
+/// too.
 class engine_choice
 {
 public:
     /// Returns the engine for \a work among \a candidates, leaving out those
-    /// in \a tried; nothing where none is left.
+    /// in \a tried; null if none is left.
     const listed_target*
     choose(const std::vector<const listed_target*>& candidates,
            const std::set<target_start>& tried, const generation& work,
            const std::string& zone, instant now);
 
-    /// Notes that \a work was sent to \a id. Returns the tokens it adds
-    /// there.
+    /// Records that \a work was sent to \a id. Returns the prefill tokens that
+    /// it adds there.
     double note_sent(const target_start& id, const generation& work,
                      instant now);
 
-    /// Notes that the prompt was read: \a tokens are no longer ahead.
+    /// Records that \a id has read a prompt: \a tokens are no longer queued.
     void note_read(const target_start& id, double tokens);
 
     void note_ended(const target_start& id);
 
-    /// Notes that \a id gave no answer or refused.
+    /// Records that \a id did not answer, or that it refused the request.
     void note_failed(const target_start& id, bool is_refusal, instant now);
 
     void note_answered(const target_start& id);
 
-    /// Returns the tokens of \a work that \a id would have to read.
+    /// Returns the tokens of \a work that \a id would have to prefill, by what
+    /// this entry has sent there.
     double uncached(const target_start& id, const generation& work,
                     instant now) const;
 
 private:
-    struct engine
+    struct engine_state
     {
-        double ahead = 0; ///< Tokens sent there and not read yet.
+        double queued_tokens = 0; ///< Sent there and not read yet.
         std::uint32_t running = 0;
-        std::uint32_t failures = 0;
-        instant aside_until{};
-        std::unordered_map<std::string, instant> kept; ///< Parts, last use.
+        std::uint32_t consecutive_failures = 0;
+        instant backoff_until{};
+        std::unordered_map<std::string, instant> last_used; ///< By segment id.
     };
 
-    void forget_old(engine& one, instant now);
+    void prune(engine_state& engine, instant now);
 
-    std::unordered_map<target_start, engine> m_engines;
-    prompt_homes m_homes;
+    std::unordered_map<target_start, engine_state> m_engines;
+    prompt_homes m_affinity;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/later_work.cpp
+++ b/packages/decision/later_work.cpp
@@ -5,41 +5,45 @@
 namespace mangofold::decision
 {
 
-void later_work::note_wait(const std::string& service, const service_wait& said,
-                           instant now)
+void later_work::note_wait(const std::string& service,
+                           const service_wait& reported, instant now)
 {
-    line& one = m_lines[service];
-    one.said = said;
-    one.said_at = now;
+    backlog& known = m_backlogs[service];
+    known.reported = reported;
+    known.reported_at = now;
 }
 
 void later_work::note_begun(const later_pieces& work, duration per_piece,
                             instant now, duration arrives_in, bool is_late)
 {
-    line& one = m_lines[work.service];
-    std::erase_if(one.coming,
-                  [now](const begun& other) { return other.arrives <= now; });
-    one.coming.push_back({now + arrives_in, per_piece * work.pieces, is_late});
+    backlog& known = m_backlogs[work.service];
+    std::erase_if(known.arriving, [now](const started_work& other)
+                  { return other.arrives <= now; });
+    known.arriving.push_back(
+        {now + arrives_in, per_piece * work.pieces, is_late});
 }
 
-duration later_work::call_at(const std::string& service, duration usual) const
+duration later_work::call_at(const std::string& service,
+                             duration default_time) const
 {
-    const auto found = m_lines.find(service);
-    return found == m_lines.end() || found->second.said.call == duration::zero()
-               ? usual
-               : found->second.said.call;
+    const auto found = m_backlogs.find(service);
+    return found == m_backlogs.end() ||
+                   found->second.reported.call == duration::zero()
+               ? default_time
+               : found->second.reported.call;
 }
 
 duration later_work::wait_at(const std::string& service, instant now,
                              duration arrives_in, bool is_late) const
 {
-    const auto found = m_lines.find(service);
-    if (found == m_lines.end())
+    const auto found = m_backlogs.find(service);
+    if (found == m_backlogs.end())
         return duration::zero();
-    const line& one = found->second;
-    const duration said = is_late ? one.said.all : one.said.in_time;
-    duration wait = said - (now - one.said_at) - arrives_in;
-    for (const begun& work : one.coming)
+    const backlog& known = found->second;
+    const duration reported =
+        is_late ? known.reported.all : known.reported.in_time;
+    duration wait = reported - (now - known.reported_at) - arrives_in;
+    for (const started_work& work : known.arriving)
         if ((is_late || !work.is_late) && work.arrives > now &&
             work.arrives <= now + arrives_in)
             wait += work.time;
--- a/packages/decision/later_work.hpp
+++ b/packages/decision/later_work.hpp
@@ -10,58 +10,61 @@
 namespace mangofold::decision
 {
 
-/// What waits at a service, as who gathers it says.
+/// The expected queueing times of a service, as reported by the entry that
+/// plans its calls.
 struct service_wait
 {
-    duration in_time{}; ///< Until a new piece that can be in time would begin.
-    duration all{};     ///< Until one that will be late would.
-    duration call{};    ///< That a call takes.
+    duration in_time{}; ///< Of a new piece that can be on time.
+    duration all{};     ///< Of a new piece that will be late.
+    duration call{};    ///< Average duration of a call.
 
     friend bool operator==(const service_wait&, const service_wait&) = default;
 };
 
-/// What a gatherer knows of the work that waits at the services of later
-/// stages, so that it begins no request whose next stage cannot take it soon.
+/// Estimates the queueing time at the services of downstream stages, so that
+/// an entry starts no request whose next stage cannot take it soon.
 ///
-/// A chain that is begun and then waits holds room for its results, which is
-/// as scarce as time; results that wait too long are dropped and made again.
+/// A request that has started and then waits occupies memory for its results,
+/// which is as scarce as compute time. Results that wait too long are dropped
+/// and have to be made again.
 class later_work
 {
 public:
-    /// Notes what waited at \a service at \a now.
-    void note_wait(const std::string& service, const service_wait& said,
+    /// Records the wait times that \a service reported at \a now.
+    void note_wait(const std::string& service, const service_wait& reported,
                    instant now);
 
-    /// Notes that \a work for \a service was begun here and will come there
-    /// in \a arrives_in; one piece takes \a per_piece of the whole service.
+    /// Records that a request was started here whose \a work reaches its
+    /// service after \a arrives_in. One piece takes \a per_piece of the
+    /// capacity of the whole service.
     void note_begun(const later_pieces& work, duration per_piece, instant now,
                     duration arrives_in, bool is_late);
 
-    /// Returns how long a new piece would wait at \a service that comes there
-    /// in \a arrives_in: until then it works off what is there already. One
-    /// that can be in time does not wait for those that will be late.
+    /// Returns the time that a new piece would wait at \a service if it
+    /// arrives there after \a arrives_in; the service works off its backlog in
+    /// the meantime. A piece that can be on time does not wait for late ones.
     duration wait_at(const std::string& service, instant now,
                      duration arrives_in, bool is_late) const;
 
-    /// Returns the time that a call there takes, or \a usual where nobody
-    /// has said.
-    duration call_at(const std::string& service, duration usual) const;
+    /// Returns the reported duration of a call to \a service, or
+    /// \a default_time if none was reported.
+    duration call_at(const std::string& service, duration default_time) const;
 
 private:
-    struct begun
+    struct started_work
     {
         instant arrives{};
         duration time{};
         bool is_late = false;
     };
-    struct line
+    struct backlog
     {
-        service_wait said;
-        instant said_at{};
-        std::deque<begun> coming;
+        service_wait reported;
+        instant reported_at{};
+        std::deque<started_work> arriving; ///< Started here, not there yet.
     };
 
-    std::map<std::string, line> m_lines;
+    std::map<std::string, backlog> m_backlogs; ///< By service.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/piece_job.hpp
+++ b/packages/decision/piece_job.hpp
@@ -10,7 +10,8 @@
 namespace mangofold::decision
 {
 
-/// Pieces of a later stage of the same request.
+/// The pieces that a request still needs from the service of a downstream
+/// stage.
 struct later_pieces
 {
     std::string service;
@@ -19,34 +20,34 @@
     friend bool operator==(const later_pieces&, const later_pieces&) = default;
 };
 
-/// The pieces of one stage of one request, to be made by any target of the
-/// stage's service.
+/// The pieces of one stage of one request. Any target of the stage's service
+/// can make them.
 struct piece_job
 {
-    std::uint64_t number = 0; ///< Given by who gathers.
-    std::string request;
-    digest content; ///< Of the request, see request_content.
+    std::uint64_t number = 0; ///< Assigned by the entry that plans the calls.
+    std::string request;      ///< Request id.
+    digest content;           ///< Of the request, see request_content.
     std::uint32_t stage = 0;
     std::uint32_t pieces = 1;
-    std::string key;                 ///< Where the stage follows no other.
-    std::vector<std::string> inputs; ///< Results it needs otherwise.
-    std::uint64_t result_bytes = 0;  ///< Of one piece, roughly.
-    std::uint64_t input_bytes = 0;   ///< That one piece needs, roughly.
-    std::string zone;      ///< Where its results are best made, if anywhere.
-    instant asked_at{};    ///< At who gathers.
-    duration yields{};     ///< How much later than due it counts as due, since
-                           ///< others are more urgent.
-    instant due{};         ///< All stages should be made, to be useful in full.
-    instant expires{};     ///< All stages must be made, to be of any use.
-    bool is_begun = false; ///< Other stages of its request are under way.
-    bool is_late = false;  ///< It was begun although it would be late.
-    /// Work that waits for it at other services, in pieces.
-    std::vector<later_pieces> later;
+    std::string key;                 ///< Piece key; set for a first stage.
+    std::vector<std::string> inputs; ///< Handles of results; set for a stage
+                                     ///< that follows others.
+    std::uint64_t result_bytes = 0;  ///< Approximate size of one result.
+    std::uint64_t input_bytes = 0;   ///< Approximate input size of one piece.
+    std::string zone;      ///< Preferred zone of the results; empty for any.
+    instant asked_at{};    ///< When the planning entry received the job.
+    duration yields{};     ///< Added to the due time when jobs are ordered, so
+                           ///< that jobs of a higher priority go first.
+    instant due{};         ///< All stages should be done, for full value.
+    instant expires{};     ///< All stages must be done, to be of any use.
+    bool is_begun = false; ///< Other stages of the request have started.
+    bool is_late = false;  ///< Expected to miss the due time when it started.
+    std::vector<later_pieces> later; ///< Work at the downstream services.
 
     friend bool operator==(const piece_job&, const piece_job&) = default;
 };
 
-/// One piece of a job.
+/// Identifies one piece of a job.
 struct piece_ref
 {
     std::uint64_t job = 0;
@@ -55,13 +56,13 @@
     friend auto operator<=>(const piece_ref&, const piece_ref&) = default;
 };
 
-/// How the pieces of a job ended.
+/// How a job ended.
 enum class job_end : std::uint8_t
 {
-    made,  ///< All results are there.
-    late,  ///< Its time was over before it could be made.
-    gone,  ///< One of its inputs is no longer there.
-    failed ///< No target could make it.
+    made,  ///< All results are available.
+    late,  ///< The job expired before it was done.
+    gone,  ///< An input no longer exists.
+    failed ///< No target could make the pieces.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/prompt_homes.cpp
+++ b/packages/decision/prompt_homes.cpp
@@ -11,29 +11,31 @@
 namespace
 {
 
-/// How long work counts, as the time in which its weight falls to a third:
-/// long enough for some dozens of generations of an entry among a hundred.
-constexpr duration memory = std::chrono::seconds(20);
+/// Time in which the weight of placed load decays to 1/e: long enough to
+/// cover some dozens of generations of one entry among a hundred.
+constexpr duration decay_time = std::chrono::seconds(20);
 
-/// A part gets this many times its share of all engines: what names it comes
-/// unevenly, and its own parts fall unevenly on its engines.
+/// Factor on a segment's share of the engines: its load arrives unevenly, and
+/// the segments that follow it are distributed unevenly over its engines.
 constexpr double headroom = 1.5;
 
-/// The number of a part's engines is a power of this. Entries that see shares
-/// which differ by half mostly come to the same number.
-constexpr double engines_step = 4;
+/// The number of engines of a segment is a power of this base. Entries whose
+/// estimates of the share differ by half then mostly get the same number.
+constexpr double replica_base = 4;
 
-/// Sightings of a part that say nothing yet of its share.
-constexpr double chance_sightings = 1;
+/// Number of occurrences that are ignored: so few say nothing about the share
+/// of a segment.
+constexpr double ignored_occurrences = 1;
 
-/// Of fewer generations no shares are taken.
-constexpr double few_placed = 12;
+/// Shares are computed relative to at least this many generations.
+constexpr double min_generations = 12;
 
-/// Parts remembered before old ones are looked for.
-constexpr std::size_t many_parts = 4096;
+/// Number of recorded segments from which old ones are pruned.
+constexpr std::size_t prune_threshold = 4096;
 
-/// The weight that is forgotten, as a share of a generation's.
-constexpr double negligible = 0.01;
+/// Segments are pruned when their weight falls below this share of the mean
+/// weight of a generation.
+constexpr double negligible_share = 0.01;
 
 double seconds(duration value)
 {
@@ -42,62 +44,68 @@
 
 } // namespace
 
-double prompt_homes::decaying::value(instant now) const
+double prompt_homes::decaying_sum::value(instant now) const
 {
-    return weight * std::exp(-seconds(now - at) / seconds(memory));
+    return weight * std::exp(-seconds(now - at) / seconds(decay_time));
 }
 
-void prompt_homes::decaying::add(double more, instant now)
+void prompt_homes::decaying_sum::add(double amount, instant now)
 {
-    weight = value(now) + more;
+    weight = value(now) + amount;
     at = now;
 }
 
 void prompt_homes::note_placed(const std::vector<shared_part>& prompt,
                                double tokens, instant now)
 {
-    m_all.add(tokens, now);
-    m_placed.add(1, now);
-    forget_old(now);
-    for (std::size_t one = 0; one + 1 < prompt.size(); ++one)
-        m_parts[prompt[one].id].add(tokens, now);
+    m_tokens.add(tokens, now);
+    m_generations.add(1, now);
+    prune(now);
+    for (std::size_t index = 0; index + 1 < prompt.size(); ++index)
+        m_segment_tokens[prompt[index].id].add(tokens, now);
 }
 
-void prompt_homes::forget_old(instant now)
+void prompt_homes::prune(instant now)
 {
-    if (m_parts.size() < many_parts || now < m_forgot_at + memory)
+    if (m_segment_tokens.size() < prune_threshold ||
+        now < m_pruned_at + decay_time)
         return;
-    m_forgot_at = now;
-    const double least = negligible * m_all.value(now) / m_placed.value(now);
-    std::erase_if(m_parts, [&](const auto& part)
-                  { return part.second.value(now) < least; });
+    m_pruned_at = now;
+    const double least =
+        negligible_share * m_tokens.value(now) / m_generations.value(now);
+    std::erase_if(m_segment_tokens, [&](const auto& segment)
+                  { return segment.second.value(now) < least; });
 }
 
-// A part that was seen once or twice may have any share; taken for as much as
-// that, each would be kept at several engines, and read at each.
-double prompt_homes::share_of(const std::string& part, instant now) const
+// One or two occurrences give no estimate of a segment's share. Taken at face
+// value, they would spread every rare segment over several engines, each of
+// which would have to prefill it.
+double prompt_homes::load_share(const std::string& segment, instant now) const
 {
-    const double placed = m_placed.value(now);
-    if (placed <= 0)
+    const double generations = m_generations.value(now);
+    if (generations <= 0)
         return 0;
-    const double mean = m_all.value(now) / placed;
-    const auto found = m_parts.find(part);
-    const double seen =
-        found == m_parts.end() ? 0 : found->second.value(now) / mean;
-    const double counts = std::max(seen - chance_sightings, 0.0);
-    return std::min(1.0, counts / std::max(placed, few_placed));
+    const double mean = m_tokens.value(now) / generations;
+    const auto found = m_segment_tokens.find(segment);
+    const double occurrences =
+        found == m_segment_tokens.end() ? 0 : found->second.value(now) / mean;
+    const double counted = std::max(occurrences - ignored_occurrences, 0.0);
+    return std::min(1.0, counted / std::max(generations, min_generations));
 }
 
-std::size_t prompt_homes::engines_for(const std::string& part, std::size_t all,
-                                      instant now) const
+std::size_t prompt_homes::replica_count(const std::string& segment,
+                                        std::size_t engine_count,
+                                        instant now) const
 {
     const double wanted =
-        share_of(part, now) * headroom * static_cast<double>(all);
+        load_share(segment, now) * headroom * static_cast<double>(engine_count);
     if (wanted <= 1)
         return 1;
-    const double steps = std::round(std::log(wanted) / std::log(engines_step));
-    return static_cast<std::size_t>(std::clamp(std::pow(engines_step, steps),
-                                               1.0, static_cast<double>(all)));
+    const double exponent =
+        std::round(std::log(wanted) / std::log(replica_base));
+    return static_cast<std::size_t>(
+        std::clamp(std::pow(replica_base, exponent), 1.0,
+                   static_cast<double>(engine_count)));
 }
 
 prompt_homes::home
@@ -106,21 +114,21 @@
 {
     if (prompt.size() < 2 || engines.empty())
         return {};
-    // The deepest part that others share decides: who keeps it has read all
-    // before it.
+    // The last shared segment decides: an engine that has it cached has read
+    // all segments before it.
     const std::string& shared = prompt[prompt.size() - 2].id;
-    std::vector<std::pair<std::uint64_t, const listed_target*>> order;
-    order.reserve(engines.size());
-    for (const listed_target* one : engines)
-        order.emplace_back(election_rank(shared, one->start.id), one);
-    const std::size_t count = engines_for(shared, engines.size(), now);
-    std::partial_sort(order.begin(),
-                      order.begin() + static_cast<std::ptrdiff_t>(count),
-                      order.end(), std::greater<>());
-    // The own part spreads the generations evenly, and keeps a session's
-    // together.
+    std::vector<std::pair<std::uint64_t, const listed_target*>> ranked;
+    ranked.reserve(engines.size());
+    for (const listed_target* engine : engines)
+        ranked.emplace_back(election_rank(shared, engine->start.id), engine);
+    const std::size_t count = replica_count(shared, engines.size(), now);
+    std::partial_sort(ranked.begin(),
+                      ranked.begin() + static_cast<std::ptrdiff_t>(count),
+                      ranked.end(), std::greater<>());
+    // The request's own segment distributes the generations evenly over the
+    // replicas and keeps a session at one of them.
     const std::uint64_t own = election_rank(shared, prompt.back().id);
-    return {order[own % count].second, count > 1};
+    return {ranked[own % count].second, count > 1};
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/prompt_homes.hpp
+++ b/packages/decision/prompt_homes.hpp
@@ -11,7 +11,7 @@
 namespace mangofold::decision
 {
 
-/// A part of a prompt, in the order of the prompt.
+/// A consecutive part of a prompt, which engines cache as a unit.
 struct shared_part
 {
     std::string id;
@@ -20,56 +20,59 @@
     friend bool operator==(const shared_part&, const shared_part&) = default;
 };
 
-/// Where the parts that prompts share are best kept: each at as few engines as
-/// bear the work that names it, the same ones for every entry.
+/// Prompt cache affinity: decides which engines should cache the segments that
+/// prompts share, so that all entries choose the same engines without talking
+/// to each other.
 ///
-/// A part's engines are the first of an order that depends on its name alone.
-/// How many there are follows from its share of the work that this entry has
-/// placed lately, which is about its share of everybody's: what one entry has
-/// under way at an engine says little where hundreds send there.
+/// The engines of a segment are the first ones in an order that depends on the
+/// segment's id alone. Their number follows from the segment's share of the
+/// load that this entry has placed recently, which approximates its share of
+/// the load of all entries. The requests that one entry has in progress at an
+/// engine would say little about the engine's load where hundreds of entries
+/// use it.
 class prompt_homes
 {
 public:
-    /// Notes that a generation with \a prompt was placed at \a now and gives
-    /// an engine \a tokens to read.
+    /// Records that a generation with \a prompt was placed at \a now and costs
+    /// the engine \a tokens of prefill.
     void note_placed(const std::vector<shared_part>& prompt, double tokens,
                      instant now);
 
-    /// The engine that keeps what a prompt shares with others.
+    /// The engine that should cache the shared segments of a prompt.
     struct home
     {
-        const listed_target* engine = nullptr; ///< Nothing is shared.
-        bool is_one_of_many = false;           ///< So much work names it.
+        const listed_target* engine = nullptr; ///< Null if nothing is shared.
+        bool is_replicated = false; ///< Several engines cache the segments.
 
         friend bool operator==(const home&, const home&) = default;
     };
 
-    /// Returns the one of \a engines that keeps the shared parts of \a prompt
-    /// by this rule. The last part belongs to the request alone or to its
-    /// session.
+    /// Returns which of \a engines should cache the shared segments of
+    /// \a prompt. The last segment is taken to belong to the request alone or
+    /// to its session.
     home home_of(const std::vector<const listed_target*>& engines,
                  const std::vector<shared_part>& prompt, instant now) const;
 
 private:
-    /// A weight that decays as time passes.
-    struct decaying
+    /// A sum whose terms decay exponentially with their age.
+    struct decaying_sum
     {
         double weight = 0;
         instant at{};
 
         double value(instant now) const;
-        void add(double more, instant now);
+        void add(double amount, instant now);
     };
 
-    double share_of(const std::string& part, instant now) const;
-    std::size_t engines_for(const std::string& part, std::size_t all,
-                            instant now) const;
-    void forget_old(instant now);
+    double load_share(const std::string& segment, instant now) const;
+    std::size_t replica_count(const std::string& segment,
+                              std::size_t engine_count, instant now) const;
+    void prune(instant now);
 
-    decaying m_all;    ///< Tokens of all generations, ...
-    decaying m_placed; ///< ... and how many these were.
-    std::unordered_map<std::string, decaying> m_parts; ///< Tokens by part.
-    instant m_forgot_at{};                             ///< Old parts.
+    decaying_sum m_tokens;      ///< Of all generations.
+    decaying_sum m_generations; ///< Number of generations.
+    std::unordered_map<std::string, decaying_sum> m_segment_tokens; ///< By id.
+    instant m_pruned_at{};
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/stage_target.cpp
+++ b/packages/decision/stage_target.cpp
@@ -3,34 +3,34 @@
 namespace mangofold::decision
 {
 
-void stage_target::drop_ended(instant now)
+void stage_target::drop_expired(instant now)
 {
-    for (auto one = kept.begin(); one != kept.end();)
+    for (auto entry = stored.begin(); entry != stored.end();)
     {
-        if (one->second.ends > now)
+        if (entry->second.expires_at > now)
         {
-            ++one;
+            ++entry;
             continue;
         }
-        kept_bytes -= one->second.bytes;
-        one = kept.erase(one);
+        stored_bytes -= entry->second.bytes;
+        entry = stored.erase(entry);
     }
 }
 
-void stage_target::keep(const std::string& handle, std::uint64_t bytes,
-                        instant ends)
+void stage_target::store(const std::string& handle, std::uint64_t bytes,
+                         instant expires_at)
 {
-    if (kept.try_emplace(handle, kept_result{bytes, ends}).second)
-        kept_bytes += bytes;
+    if (stored.try_emplace(handle, stored_result{bytes, expires_at}).second)
+        stored_bytes += bytes;
 }
 
 void stage_target::release(const std::string& handle)
 {
-    const auto found = kept.find(handle);
-    if (found == kept.end())
+    const auto found = stored.find(handle);
+    if (found == stored.end())
         return;
-    kept_bytes -= found->second.bytes;
-    kept.erase(found);
+    stored_bytes -= found->second.bytes;
+    stored.erase(found);
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/stage_target.hpp
+++ b/packages/decision/stage_target.hpp
@@ -10,29 +10,31 @@
 namespace mangofold::decision
 {
 
-/// What a gatherer believes of one target of a stage service.
+/// The planner's estimate of the load, speed and stored results of one target
+/// of a stage service.
 struct stage_target
 {
     target_start start;
     std::string zone;
-    std::uint32_t running = 0;  ///< Own calls under way.
-    instant free_at{};          ///< When they should be done.
-    double slowness = 1;        ///< Time taken against time expected.
-    instant called_at{};        ///< The newest call's end.
-    std::uint32_t failures = 0; ///< In a row.
-    instant aside_until{};
-    std::uint64_t reserved_bytes = 0; ///< Of calls under way.
-    struct kept_result
+    std::uint32_t calls_in_progress = 0; ///< Calls of this planner only.
+    instant free_at{};                   ///< When they are expected to end.
+    double slowdown = 1; ///< Measured call duration over the nominal one.
+    instant last_call_ended_at{};
+    std::uint32_t consecutive_failures = 0;
+    instant backoff_until{};          ///< Gets no calls before this time.
+    std::uint64_t reserved_bytes = 0; ///< For results of calls in progress.
+    struct stored_result
     {
         std::uint64_t bytes = 0;
-        instant ends{}; ///< When its maker drops it by itself.
+        instant expires_at{}; ///< When the target drops the result.
     };
-    std::map<std::string, kept_result> kept;
-    std::uint64_t kept_bytes = 0;
+    std::map<std::string, stored_result> stored; ///< By handle.
+    std::uint64_t stored_bytes = 0;
 
-    /// Forgets the results that the maker has dropped by now.
-    void drop_ended(instant now);
-    void keep(const std::string& handle, std::uint64_t bytes, instant ends);
+    /// Forgets the results that the target has dropped by \a now.
+    void drop_expired(instant now);
+    void store(const std::string& handle, std::uint64_t bytes,
+               instant expires_at);
     void release(const std::string& handle);
 };
 
