--- a/tests/decision/choice_test.cpp
+++ b/tests/decision/choice_test.cpp
@@ -13,98 +13,98 @@
 
 std::vector<listed_target> targets(std::size_t count)
 {
-    std::vector<listed_target> made;
-    for (std::size_t one = 0; one < count; ++one)
-        made.push_back({"t" + std::to_string(one), "s",
-                        "10.0.0." + std::to_string(one) + ":80",
-                        one % 2 == 0 ? "a" : "b", 4, false, one + 1});
-    return made;
+    std::vector<listed_target> result;
+    for (std::size_t index = 0; index < count; ++index)
+        result.push_back({"t" + std::to_string(index), "s",
+                          "10.0.0." + std::to_string(index) + ":80",
+                          index % 2 == 0 ? "a" : "b", 4, false, index + 1});
+    return result;
 }
 
 std::vector<const listed_target*>
 pointers(const std::vector<listed_target>& all)
 {
-    std::vector<const listed_target*> found;
-    for (const listed_target& one : all)
-        found.push_back(&one);
-    return found;
+    std::vector<const listed_target*> result;
+    for (const listed_target& target : all)
+        result.push_back(&target);
+    return result;
 }
 
 } // namespace
 
-// Callers wait for a dead target again and again.
-TEST_CASE("a target that stays silent twice is set aside, then tried again")
+// Guards against callers that wait for the same dead target again and again.
+TEST_CASE("a target that does not answer twice is avoided, then tried again")
 {
     target_standing standing(1);
     const auto all = targets(2);
-    for (int one = 0; one < 2; ++one)
+    for (int repeat = 0; repeat < 2; ++repeat)
     {
         standing.note_sent("t0");
         standing.note_silent("t0", start);
     }
     CHECK(standing.is_aside("t0", start));
-    for (int one = 0; one < 20; ++one)
+    for (int repeat = 0; repeat < 20; ++repeat)
         CHECK(standing.choose(pointers(all), {}, "a", start)->start.id == "t1");
     CHECK_FALSE(standing.is_aside("t0", start + 250ms));
 }
 
-TEST_CASE("a target that turned slow gets less work")
+TEST_CASE("a target that became slow gets less work")
 {
     target_standing standing(1);
     const auto all = targets(2);
-    for (int one = 0; one < 20; ++one)
+    for (int repeat = 0; repeat < 20; ++repeat)
     {
         standing.note_sent("t0");
         standing.note_answered("t0", 200ms, false);
         standing.note_sent("t1");
         standing.note_answered("t1", 20ms, false);
     }
-    for (int one = 0; one < 20; ++one)
+    for (int repeat = 0; repeat < 20; ++repeat)
         CHECK(standing.choose(pointers(all), {}, "a", start)->start.id == "t1");
 }
 
-// A target that was slow for some seconds gets next to nothing for the rest of
-// the day; the others carry its share.
-// 1. It is five times slower for a while. 2. Others are chosen. 3. It is well
-// again, but nothing is sent there that would show it.
-TEST_CASE("a target that was slow is found to be well again")
+// Guards against a target that gets almost no work for the rest of the day
+// after a few slow seconds, while the others carry its load: it is five times
+// slower for a while, the others are chosen, and without requests nothing shows
+// that it has recovered.
+TEST_CASE("a target that was slow is found to have recovered")
 {
     target_standing standing(1);
     auto all = targets(4);
-    for (auto& one : all)
-        one.zone = "a";
-    const auto share_of_first = [&](int requests, duration takes)
+    for (auto& target : all)
+        target.zone = "a";
+    const auto share_of_first = [&](int requests, duration first_latency)
     {
         int sent = 0;
-        for (int one = 0; one < requests; ++one)
+        for (int request = 0; request < requests; ++request)
         {
             const auto id =
                 standing.choose(pointers(all), {}, "a", start)->start;
             const bool is_first = id.id == "t0";
             sent += is_first ? 1 : 0;
             standing.note_sent(id);
-            standing.note_answered(id, is_first ? takes : 20ms, false);
+            standing.note_answered(id, is_first ? first_latency : 20ms, false);
         }
         return static_cast<double>(sent) / requests;
     };
     share_of_first(100, 20ms);
     share_of_first(20, 100ms);
-    CHECK(share_of_first(500, 100ms) < 0.03); // The trials cost little.
+    CHECK(share_of_first(500, 100ms) < 0.03); // Probes are rare.
     share_of_first(200, 20ms);
     CHECK(share_of_first(100, 20ms) > 0.1);
 }
 
-// One that may not be repeated is lost where the target still fails.
-TEST_CASE("what may not be repeated tries no target that did badly")
+// A request that may not be repeated is lost if the target still fails.
+TEST_CASE("requests that may not be repeated probe no failing target")
 {
     target_standing standing(1);
     const auto all = targets(2);
-    for (int one = 0; one < 20; ++one)
+    for (int repeat = 0; repeat < 20; ++repeat)
     {
         standing.note_sent("t0");
         standing.note_answered("t0", 20ms, true);
     }
-    for (int one = 0; one < 200; ++one)
+    for (int repeat = 0; repeat < 200; ++repeat)
     {
         standing.note_sent("t1");
         standing.note_answered("t1", 20ms, false);
@@ -113,17 +113,17 @@
     }
 }
 
-TEST_CASE("work in flight counts against a target")
+TEST_CASE("requests in flight count against a target")
 {
     target_standing standing(1);
     auto all = targets(3);
-    for (auto& one : all)
-        one.zone = "a";
-    for (int one = 0; one < 30; ++one)
+    for (auto& target : all)
+        target.zone = "a";
+    for (int repeat = 0; repeat < 30; ++repeat)
         standing.note_sent(
             standing.choose(pointers(all), {}, "a", start)->start.id);
-    for (const auto& one : all)
-        CHECK(standing.in_flight(one.start.id) >= 8);
+    for (const auto& target : all)
+        CHECK(standing.in_flight(target.start.id) >= 8);
 }
 
 TEST_CASE("a target that was tried is not chosen again")
@@ -134,58 +134,60 @@
     CHECK(standing.choose(pointers(all), {"t0", "t1"}, "a", start) == nullptr);
 }
 
-TEST_CASE("generations that share a part meet at one engine")
+TEST_CASE("generations that share a prompt segment go to one engine")
 {
-    engine_choice one_entry;
-    engine_choice other_entry;
+    engine_choice first_entry;
+    engine_choice second_entry;
     const auto all = targets(8);
     const generation work{{{"common", 2000}, {"topic", 3000}, {"own", 500}},
                           {}};
-    const auto* first = one_entry.choose(pointers(all), {}, work, "a", start);
+    const auto* first = first_entry.choose(pointers(all), {}, work, "a", start);
     const auto* second =
-        other_entry.choose(pointers(all), {}, work, "b", start);
+        second_entry.choose(pointers(all), {}, work, "b", start);
     CHECK(first->start.id == second->start.id);
-    one_entry.note_sent(first->start.id, work, start);
-    CHECK(one_entry.uncached(first->start.id, work, start + 1s) == 0);
-    CHECK(one_entry.uncached(first->start.id, work, start + 60s) == 5500);
+    first_entry.note_sent(first->start.id, work, start);
+    CHECK(first_entry.uncached(first->start.id, work, start + 1s) == 0);
+    CHECK(first_entry.uncached(first->start.id, work, start + 60s) == 5500);
 }
 
-// All requests about one popular topic go to one engine, and wait there.
-TEST_CASE("a popular part spreads over engines before one is overrun")
+// Guards against sending all requests about a popular topic to one engine,
+// where they queue up.
+TEST_CASE("a popular segment is spread over several engines")
 {
-    engine_choice choice;
+    engine_choice selector;
     const auto all = targets(8);
     std::set<std::string> used;
-    for (int one = 0; one < 40; ++one)
+    for (int number = 0; number < 40; ++number)
     {
         const generation work{{{"common", 2000},
                                {"topic", 3000},
-                               {"own" + std::to_string(one), 2000}},
+                               {"own" + std::to_string(number), 2000}},
                               {}};
-        const auto* chosen = choice.choose(pointers(all), {}, work, "a", start);
-        choice.note_sent(chosen->start.id, work, start);
+        const auto* chosen =
+            selector.choose(pointers(all), {}, work, "a", start);
+        selector.note_sent(chosen->start.id, work, start);
         used.insert(chosen->start.id);
     }
     CHECK(used.size() >= 4);
 }
 
-TEST_CASE("large results draw the generation into their zone")
+TEST_CASE("a generation with large inputs is placed in their zone")
 {
-    engine_choice choice;
+    engine_choice selector;
     const auto all = targets(8);
     const generation work{{{"own", 500}}, {{"b", 8U << 20U}}};
-    CHECK(choice.choose(pointers(all), {}, work, "a", start)->zone == "b");
+    CHECK(selector.choose(pointers(all), {}, work, "a", start)->zone == "b");
 }
 
-// After its crash a target gets no work for long, or is taken for warm.
-// 1. It stays silent, and is set aside; its parts of prompts are believed to
-// be kept. 2. It starts again under its id. 3. Both were remembered by id.
-TEST_CASE("nothing is believed of a target that started again under its id")
+// Guards against a restarted target that gets no work for a long time, or whose
+// prompt cache is assumed to be warm: a target crashes while its backoff and
+// its cached segments are recorded by id, and restarts under the same id.
+TEST_CASE("a target that restarted under its id has no recorded state")
 {
     target_standing standing(1);
     const target_start before("t0", 100);
     const target_start after("t0", 200);
-    for (int one = 0; one < 2; ++one)
+    for (int repeat = 0; repeat < 2; ++repeat)
     {
         standing.note_sent(before);
         standing.note_silent(before, start);
@@ -194,10 +196,10 @@
     CHECK_FALSE(standing.is_aside(after, start));
     CHECK(standing.in_flight(after) == 0);
 
-    engine_choice engines;
+    engine_choice selector;
     generation work;
     work.prompt = {{"shared", 1000}, {"own", 10}};
-    engines.note_sent(before, work, start);
-    CHECK(engines.uncached(before, work, start) <
-          engines.uncached(after, work, start));
+    selector.note_sent(before, work, start);
+    CHECK(selector.uncached(before, work, start) <
+          selector.uncached(after, work, start));
 }
--- a/tests/decision/placement_world_test.cpp
+++ b/tests/decision/placement_world_test.cpp
@@ -14,109 +14,114 @@
 
 constexpr duration tick = 1ms;
 
-/// Prompt tokens that an engine of the world reads in a millisecond.
+/// Prompt tokens that a simulated engine reads in a millisecond.
 constexpr double tokens_per_ms = 70;
 
-/// Parts that an engine has not used for this long count as gone.
-constexpr duration kept_by_engine = 30s;
+/// Engines evict segments that they have not used for this long.
+constexpr duration cache_lifetime = 30s;
 
-/// A part that was read somewhere this lately is read again elsewhere.
-constexpr duration lately = 9s;
+/// Reading a segment counts as repeated if an engine used it this recently.
+constexpr duration reread_window = 9s;
 
-constexpr std::size_t zones = 6;
+constexpr std::size_t zone_count = 6;
 
-/// A kind of request: a part that few others name before one that some do.
-struct kind
+/// A kind of request. Its prompts consist of a topic, a subtopic of that topic
+/// and a segment of their own.
+struct workload
 {
     std::string name;
     double per_second = 0;
-    std::uint32_t first_things = 1;
-    std::uint32_t first_tokens = 0;
-    std::uint32_t second_things = 1;
-    std::uint32_t second_tokens = 0;
+    std::uint32_t topics = 1;
+    std::uint32_t topic_tokens = 0;
+    std::uint32_t subtopics = 1;
+    std::uint32_t subtopic_tokens = 0;
     std::uint32_t own_tokens = 0;
-    duration generating{}; ///< After the prompt was read.
-    double hot = 0;        ///< Share of its requests about one second thing.
+    duration generation_time{}; ///< After the prompt was read.
+    double hot_share = 0;       ///< Of requests about a topic's hot subtopic.
 };
 
-/// Long plans, short notes and chats, as booking assistants have them; \a times
-/// what a hundred engines read at a seventh of their speed.
-std::vector<kind> usual_kinds(double times)
+/// Returns long plans, short notes and chats, as booking assistants have them,
+/// at \a load times the rate that keeps a hundred engines reading for a seventh
+/// of the time.
+std::vector<workload> usual_workloads(double load)
 {
-    return {{"plan", 117 * times, 4, 2520, 2077, 3780, 2890, 50ms},
-            {"note", 156 * times, 78, 341, 1227, 227, 1800, 30ms},
-            {"chat", 37 * times, 15, 103, 289, 69, 543, 300ms}};
+    return {{"plan", 117 * load, 4, 2520, 2077, 3780, 2890, 50ms},
+            {"note", 156 * load, 78, 341, 1227, 227, 1800, 30ms},
+            {"chat", 37 * load, 15, 103, 289, 69, 543, 300ms}};
 }
 
-/// Many entries that place generations at engines, each by what it alone has
-/// seen, and the engines' own memory of prompts.
-class placement_world
+/// Simulates many entries that place generations at engines, each by its own
+/// records only, and the prompt caches of the engines.
+class placement_simulation
 {
 public:
-    placement_world(std::size_t entries, std::size_t engines,
-                    std::vector<kind> kinds, std::uint64_t seed)
-        : m_entries(entries), m_engines(engines), m_kinds(std::move(kinds)),
-          m_random(seed)
+    placement_simulation(std::size_t entries, std::size_t engines,
+                         std::vector<workload> workloads, std::uint64_t seed)
+        : m_entries(entries), m_engines(engines),
+          m_workloads(std::move(workloads)), m_random(seed)
     {
-        for (std::size_t one = 0; one < engines; ++one)
+        for (std::size_t index = 0; index < engines; ++index)
         {
-            const std::string id = "engine-" + std::to_string(one);
-            m_targets.push_back({id, "s", id, zone(one % zones), 12, false, 1});
+            const std::string id = "engine-" + std::to_string(index);
+            m_targets.push_back(
+                {id, "s", id, zone(index % zone_count), 12, false, 1});
         }
-        for (const listed_target& one : m_targets)
-            m_candidates.push_back(&one);
+        for (const listed_target& target : m_targets)
+            m_candidates.push_back(&target);
     }
 
-    void pass(duration time)
+    /// Simulates the next \a time.
+    void advance(duration time)
     {
         for (const instant end = m_now + time; m_now < end; m_now += tick)
         {
-            for (const kind& one : m_kinds)
-                if (m_random.fraction() < one.per_second / 1000)
-                    begin(one);
-            note_reads();
+            for (const workload& load : m_workloads)
+                if (m_random.fraction() < load.per_second / 1000)
+                    start_generation(load);
+            note_progress();
         }
     }
 
-    /// Forgets the figures, not what engines and entries know.
-    void begin_figures()
+    /// Resets the statistics, but not the state of the engines and entries.
+    void reset_statistics()
     {
-        m_read = 0;
-        m_again = 0;
-        m_waits.clear();
-        for (engine& one : m_engines)
-            one.read = 0;
+        m_read_tokens = 0;
+        m_reread_tokens = 0;
+        m_read_times.clear();
+        for (engine& each : m_engines)
+            each.read_tokens = 0;
     }
 
-    /// Returns the share of all tokens read that another engine had read.
-    double again_share() const { return m_again / m_read; }
+    /// Returns the share of the tokens read that an engine had used recently.
+    double reread_share() const { return m_reread_tokens / m_read_tokens; }
 
-    /// Returns the time from a send until its prompt was read, of \a share of
-    /// the generations at most.
-    duration read_time(double share)
+    /// Returns the \a quantile of the times from sending a generation until
+    /// its prompt was read.
+    duration read_time(double quantile)
     {
-        std::sort(m_waits.begin(), m_waits.end());
-        return m_waits.at(static_cast<std::size_t>(
-            share * static_cast<double>(m_waits.size() - 1)));
+        std::sort(m_read_times.begin(), m_read_times.end());
+        return m_read_times.at(static_cast<std::size_t>(
+            quantile * static_cast<double>(m_read_times.size() - 1)));
     }
 
-    /// Returns the tokens that the busiest engine read against the mean.
+    /// Returns the ratio of the tokens that the busiest engine read to the
+    /// mean.
     double busiest_to_mean() const
     {
         double most = 0;
-        for (const engine& one : m_engines)
-            most = std::max(most, one.read);
-        return most * static_cast<double>(m_engines.size()) / m_read;
+        for (const engine& each : m_engines)
+            most = std::max(most, each.read_tokens);
+        return most * static_cast<double>(m_engines.size()) / m_read_tokens;
     }
 
 private:
     struct engine
     {
-        std::unordered_map<std::string, instant> kept;
+        std::unordered_map<std::string, instant> last_used; ///< By segment.
         instant free_at{};
-        double read = 0;
+        double read_tokens = 0;
     };
-    struct under_way
+    struct running_generation
     {
         instant read_at{};
         instant ends_at{};
@@ -131,125 +136,130 @@
         return std::string(1, static_cast<char>('a' + number));
     }
 
-    generation make(const kind& one)
+    generation make_generation(const workload& load)
     {
-        const std::uint64_t first = m_random.below(one.first_things);
-        std::uint64_t second = m_random.below(one.second_things);
-        // Each second thing goes with one first thing.
-        second = second - second % one.first_things + first;
-        if (m_random.fraction() < one.hot)
-            second = first;
-        const std::string name = one.name + std::to_string(first);
+        const std::uint64_t topic = m_random.below(load.topics);
+        std::uint64_t subtopic = m_random.below(load.subtopics);
+        // Each subtopic belongs to one topic.
+        subtopic = subtopic - subtopic % load.topics + topic;
+        if (m_random.fraction() < load.hot_share)
+            subtopic = topic;
+        const std::string name = load.name + std::to_string(topic);
         generation work;
-        work.prompt = {{name, one.first_tokens},
-                       {name + "/" + std::to_string(second), one.second_tokens},
-                       {"own" + std::to_string(++m_made), one.own_tokens}};
+        work.prompt = {
+            {name, load.topic_tokens},
+            {name + "/" + std::to_string(subtopic), load.subtopic_tokens},
+            {"own" + std::to_string(++m_generations), load.own_tokens}};
         return work;
     }
 
-    void begin(const kind& one)
+    void start_generation(const workload& load)
     {
-        const std::size_t from = m_random.below(m_entries.size());
-        engine_choice& choice = m_entries[from];
-        const generation work = make(one);
-        const listed_target* target =
-            choice.choose(m_candidates, {}, work, zone(from % zones), m_now);
-        const auto number = static_cast<std::size_t>(target - m_targets.data());
-        const double noted = choice.note_sent(target->start, work, m_now);
-        engine& at = m_engines[number];
-        const double tokens = read(at, work);
-        at.free_at =
-            std::max(at.free_at, m_now) +
+        const std::size_t entry = m_random.below(m_entries.size());
+        engine_choice& selector = m_entries[entry];
+        const generation work = make_generation(load);
+        const listed_target* target = selector.choose(
+            m_candidates, {}, work, zone(entry % zone_count), m_now);
+        const auto index = static_cast<std::size_t>(target - m_targets.data());
+        const double expected_tokens =
+            selector.note_sent(target->start, work, m_now);
+        engine& chosen = m_engines[index];
+        const double tokens = read(chosen, work);
+        chosen.free_at =
+            std::max(chosen.free_at, m_now) +
             duration(static_cast<duration::rep>(tokens * 1e6 / tokens_per_ms));
-        m_waits.push_back(at.free_at - m_now);
-        m_under_way.push_back({at.free_at, at.free_at + one.generating, from,
-                               target->start, noted});
+        m_read_times.push_back(chosen.free_at - m_now);
+        m_running.push_back({chosen.free_at,
+                             chosen.free_at + load.generation_time, entry,
+                             target->start, expected_tokens});
     }
 
-    double read(engine& at, const generation& work)
+    double read(engine& reader, const generation& work)
     {
         double tokens = 0;
-        bool is_kept = true;
-        for (const shared_part& part : work.prompt)
+        bool is_cached = true;
+        for (const shared_part& segment : work.prompt)
         {
-            const auto found = at.kept.find(part.id);
-            is_kept = is_kept && found != at.kept.end() &&
-                      found->second + kept_by_engine > m_now;
-            if (!is_kept)
+            const auto found = reader.last_used.find(segment.id);
+            is_cached = is_cached && found != reader.last_used.end() &&
+                        found->second + cache_lifetime > m_now;
+            if (!is_cached)
             {
-                tokens += part.tokens;
-                const auto last = m_used.find(part.id);
-                if (last != m_used.end() && last->second + lately > m_now)
-                    m_again += part.tokens;
+                tokens += segment.tokens;
+                const auto last = m_last_used.find(segment.id);
+                if (last != m_last_used.end() &&
+                    last->second + reread_window > m_now)
+                    m_reread_tokens += segment.tokens;
             }
-            at.kept[part.id] = m_now;
-            m_used[part.id] = m_now;
+            reader.last_used[segment.id] = m_now;
+            m_last_used[segment.id] = m_now;
         }
-        m_read += tokens;
-        at.read += tokens;
+        m_read_tokens += tokens;
+        reader.read_tokens += tokens;
         return tokens;
     }
 
-    void note_reads()
+    void note_progress()
     {
-        for (under_way& one : m_under_way)
+        for (running_generation& running : m_running)
         {
-            if (!one.is_read && one.read_at <= m_now)
+            if (!running.is_read && running.read_at <= m_now)
             {
-                m_entries[one.entry].note_read(one.target, one.tokens);
-                one.is_read = true;
+                m_entries[running.entry].note_read(running.target,
+                                                   running.tokens);
+                running.is_read = true;
             }
-            if (one.ends_at <= m_now)
+            if (running.ends_at <= m_now)
             {
-                m_entries[one.entry].note_ended(one.target);
-                one.entry = no_entry;
+                m_entries[running.entry].note_ended(running.target);
+                running.entry = no_entry;
             }
         }
-        std::erase_if(m_under_way, [](const under_way& one)
-                      { return one.entry == no_entry; });
+        std::erase_if(m_running, [](const running_generation& running)
+                      { return running.entry == no_entry; });
     }
 
     static constexpr std::size_t no_entry = ~std::size_t{0};
 
     std::vector<engine_choice> m_entries;
     std::vector<engine> m_engines;
-    std::vector<kind> m_kinds;
+    std::vector<workload> m_workloads;
     std::vector<listed_target> m_targets;
     std::vector<const listed_target*> m_candidates;
-    std::unordered_map<std::string, instant> m_used; ///< Anywhere.
-    std::vector<under_way> m_under_way;
-    std::vector<duration> m_waits;
+    std::unordered_map<std::string, instant> m_last_used; ///< At any engine.
+    std::vector<running_generation> m_running;
+    std::vector<duration> m_read_times;
     random_source m_random;
     instant m_now{1h};
-    std::uint64_t m_made = 0;
-    double m_read = 0;
-    double m_again = 0;
+    std::uint64_t m_generations = 0;
+    double m_read_tokens = 0;
+    double m_reread_tokens = 0;
 };
 
 } // namespace
 
-// A caller waits for seconds although most engines stand idle.
-// 1. Many ask about one subject. 2. Each of a hundred entries sends its few of
-// them to the engine that keeps the subject's prompt. 3. Each knows only what
-// it has under way there itself, a hundredth of all.
-TEST_CASE("a subject that many ask about does not wait at one engine")
+// Guards against requests that wait for seconds although most engines are idle:
+// many requests are about one subtopic, each of a hundred entries sends its few
+// of them to the engine that caches that segment, and each entry knows only its
+// own requests in progress there, a hundredth of all.
+TEST_CASE("requests about a hot subtopic do not queue up at one engine")
 {
-    auto kinds = usual_kinds(3);
-    kinds[0].hot = 0.3;
-    placement_world world(100, 300, kinds, 7);
-    world.pass(4s);
-    world.begin_figures();
-    world.pass(6s);
-    CHECK(world.read_time(0.95) < 200ms);
-    CHECK(world.busiest_to_mean() < 10);
+    auto workloads = usual_workloads(3);
+    workloads[0].hot_share = 0.3;
+    placement_simulation simulation(100, 300, workloads, 7);
+    simulation.advance(4s);
+    simulation.reset_statistics();
+    simulation.advance(6s);
+    CHECK(simulation.read_time(0.95) < 200ms);
+    CHECK(simulation.busiest_to_mean() < 10);
 }
 
-TEST_CASE("usual subjects stay at one engine each")
+TEST_CASE("topics of usual popularity stay at one engine each")
 {
-    placement_world world(100, 300, usual_kinds(3), 7);
-    world.pass(4s);
-    world.begin_figures();
-    world.pass(6s);
-    CHECK(world.again_share() < 0.08);
-    CHECK(world.read_time(0.95) < 200ms);
+    placement_simulation simulation(100, 300, usual_workloads(3), 7);
+    simulation.advance(4s);
+    simulation.reset_statistics();
+    simulation.advance(6s);
+    CHECK(simulation.reread_share() < 0.08);
+    CHECK(simulation.read_time(0.95) < 200ms);
 }
