--- a/packages/decision/call_planner.cpp
+++ b/packages/decision/call_planner.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-void call_planner::add(piece_job job)
+void call_planner::add(stage_job job)
 {
     job_state state;
     const std::uint64_t number = job.number;
@@ -121,12 +121,12 @@
 // Results that cross zones take long on a shared link. A job that has just
 // arrived therefore waits for a short time if a target of its own zone will be
 // free soon.
-bool call_planner::waits_for_zone(const piece_job& job,
+bool call_planner::waits_for_zone(const stage_job& job,
                                   const stage_target& target, instant now) const
 {
     if (job.zone.empty() || job.zone == target.zone)
         return false;
-    const instant until = job.asked_at + m_shape.per_call / zone_wait_divisor;
+    const instant until = job.queued_at + m_shape.per_call / zone_wait_divisor;
     if (until <= now)
         return false;
     return std::any_of(
@@ -147,17 +147,17 @@
 // due one call's time later.
 std::vector<call_planner::job_state*>
 call_planner::jobs_by_urgency(const stage_target& target, instant now,
-                              const outlook& downstream)
+                              const downstream_estimates& downstream)
 {
     std::vector<std::pair<std::pair<bool, instant>, job_state*>> order;
-    const duration call = usual_call();
+    const duration call = average_call_time();
     for (auto& [number, state] : m_jobs)
     {
         if (state.waiting.empty())
             continue;
-        piece_job& job = state.job;
-        if (!job.is_begun)
-            job.is_late = now + with_margin(call + downstream.time_after(
+        stage_job& job = state.job;
+        if (!job.is_started)
+            job.is_late = now + with_margin(call + downstream.remaining_time(
                                                        job, call, false)) >
                           job.due;
         if (waits_for_zone(job, target, now))
@@ -165,8 +165,8 @@
         // Priority decides which requests start. Delaying a request of low
         // priority after its start would make it late and waste its results.
         instant effective_due = job.due;
-        if (!job.is_begun)
-            effective_due += job.yields;
+        if (!job.is_started)
+            effective_due += job.priority_delay;
         if (!job.zone.empty() && job.zone != target.zone)
             effective_due += call;
         order.push_back({{job.is_late, effective_due}, &state});
@@ -203,7 +203,7 @@
 }
 
 void call_planner::fill(planned_call& call, stage_target& target, instant now,
-                        const outlook& downstream)
+                        const downstream_estimates& downstream)
 {
     const auto room = static_cast<std::uint64_t>(
         static_cast<double>(m_shape.room_bytes) * usable_room_share);
@@ -217,9 +217,10 @@
     {
         if (space == 0 || (is_probe && !call.pieces.empty()))
             break;
-        const piece_job& job = state->job;
+        const stage_job& job = state->job;
         if (!may_join(*state, call) ||
-            (!job.is_begun && !downstream.may_begin(job, usual_call())))
+            (!job.is_started &&
+             !downstream.may_start(job, average_call_time())))
             continue;
         const std::uint64_t bytes = state->job.result_bytes;
         const std::uint64_t fits =
@@ -238,15 +239,15 @@
             state->waiting.pop_back();
             used += bytes;
             target.reserved_bytes += bytes;
-            call.bytes += bytes;
+            call.result_bytes += bytes;
             --space;
             --m_waiting_pieces;
         }
     }
 }
 
-std::optional<planned_call> call_planner::next_call(instant now,
-                                                    const outlook& downstream)
+std::optional<planned_call>
+call_planner::next_call(instant now, const downstream_estimates& downstream)
 {
     if (m_waiting_pieces == 0)
         return std::nullopt;
@@ -257,23 +258,23 @@
         fill(call, *target, now, downstream);
         if (call.pieces.empty())
             continue;
-        call.expected = expected_time(*target, call.pieces.size());
+        call.expected_time = expected_time(*target, call.pieces.size());
         ++target->calls_in_progress;
-        target->free_at = now + call.expected;
+        target->free_at = now + call.expected_time;
         return call;
     }
     return std::nullopt;
 }
 
-void call_planner::call_done(const planned_call& call, duration took,
-                             instant now)
+void call_planner::note_call_answered(const planned_call& call, duration took,
+                                      instant now)
 {
     const auto found = m_targets.find(call.target);
     if (found == m_targets.end())
         return;
     stage_target& target = found->second;
     target.calls_in_progress -= target.calls_in_progress > 0 ? 1 : 0;
-    target.reserved_bytes -= std::min(target.reserved_bytes, call.bytes);
+    target.reserved_bytes -= std::min(target.reserved_bytes, call.result_bytes);
     target.consecutive_failures = 0;
     target.last_call_ended_at = now;
     target.free_at = now;
@@ -296,15 +297,15 @@
                                 latest_call_weight * measured;
 }
 
-void call_planner::call_failed(const planned_call& call, bool is_full,
-                               instant now)
+void call_planner::note_call_failed(const planned_call& call, bool is_full,
+                                    instant now)
 {
     const auto found = m_targets.find(call.target);
     if (found == m_targets.end())
         return;
     stage_target& target = found->second;
     target.calls_in_progress -= target.calls_in_progress > 0 ? 1 : 0;
-    target.reserved_bytes -= std::min(target.reserved_bytes, call.bytes);
+    target.reserved_bytes -= std::min(target.reserved_bytes, call.result_bytes);
     ++target.consecutive_failures;
     const double backoff_calls =
         is_full
@@ -320,16 +321,16 @@
 // The handles of the results are unknown, so the results cannot be released.
 // Calls planned as if that memory were free would return without most of their
 // pieces.
-void call_planner::call_lost(const planned_call& call, instant now)
+void call_planner::note_call_unanswered(const planned_call& call, instant now)
 {
-    call_failed(call, false, now);
+    note_call_failed(call, false, now);
     const auto found = m_targets.find(call.target);
-    if (found != m_targets.end() && call.bytes > 0)
+    if (found != m_targets.end() && call.result_bytes > 0)
         found->second.store("lost/" + std::to_string(++m_unanswered_calls),
-                            call.bytes, now + m_shape.result_lifetime);
+                            call.result_bytes, now + m_shape.result_lifetime);
 }
 
-void call_planner::no_room(const target_start& target, instant now)
+void call_planner::note_memory_full(const target_start& target, instant now)
 {
     const auto found = m_targets.find(target);
     if (found != m_targets.end())
--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -20,23 +20,24 @@
 {
     target_start target;
     std::vector<piece_ref> pieces;
-    duration expected{};
-    std::uint64_t bytes = 0; ///< Estimated size of the results.
+    duration expected_time{};
+    std::uint64_t result_bytes = 0; ///< Estimated size of the results.
 
     friend bool operator==(const planned_call&, const planned_call&) = default;
 };
 
 /// Estimates for the stages that follow the planner's own stage.
-struct outlook
+struct downstream_estimates
 {
     /// Returns the time that the downstream stages of a job will take if its
-    /// own stage takes \a call; for \a is_late see later_work::wait_at().
-    std::function<duration(const piece_job&, duration call, bool is_late)>
-        time_after = [](const piece_job&, duration, bool)
+    /// own stage takes \a call; for \a is_late see
+    /// downstream_backlog::expected_wait().
+    std::function<duration(const stage_job&, duration call, bool is_late)>
+        remaining_time = [](const stage_job&, duration, bool)
     { return duration::zero(); };
     /// Whether a request of which no stage was made yet may start now.
-    std::function<bool(const piece_job&, duration call)> may_begin =
-        [](const piece_job&, duration) { return true; };
+    std::function<bool(const stage_job&, duration call)> may_start =
+        [](const stage_job&, duration) { return true; };
 };
 
 /// Batches the pieces of all requests into calls to one stage service.
@@ -56,92 +57,93 @@
     void set_targets(const std::map<target_start, std::string>& zones);
 
     /// Adds a job. Its number must be unused.
-    void add(piece_job job);
+    void add(stage_job job);
 
     /// Removes a job whose result is no longer wanted.
     void cancel(std::uint64_t number);
 
     /// Returns the next call to make at \a now, or nothing.
-    std::optional<planned_call> next_call(instant now,
-                                          const outlook& downstream = {});
+    std::optional<planned_call>
+    next_call(instant now, const downstream_estimates& downstream = {});
 
     /// Records that \a call was answered after \a took.
-    void call_done(const planned_call& call, duration took, instant now);
+    void note_call_answered(const planned_call& call, duration took,
+                            instant now);
     /// Records that \a call failed without running, or that the target refused
     /// it because its queue \a is_full.
-    void call_failed(const planned_call& call, bool is_full, instant now);
+    void note_call_failed(const planned_call& call, bool is_full, instant now);
     /// Records that \a call got no answer but may have run: its results then
     /// occupy the target's memory until they expire.
-    void call_lost(const planned_call& call, instant now);
+    void note_call_unanswered(const planned_call& call, instant now);
 
     /// Records that \a target made \a piece and stored the result as
     /// \a handle.
-    void piece_made(const piece_ref& piece, const target_start& target,
-                    const std::string& handle, instant now);
+    void note_piece_made(const piece_ref& piece, const target_start& target,
+                         const std::string& handle, instant now);
     /// Puts \a piece back among the waiting ones.
-    void piece_lost(const piece_ref& piece);
+    void requeue_piece(const piece_ref& piece);
     /// Records that the target of \a call may have crashed because of it.
-    void note_target_ended(const planned_call& call);
+    void note_suspected_crash(const planned_call& call);
     /// Records that \a target had no memory left for a result.
-    void no_room(const target_start& target, instant now);
+    void note_memory_full(const target_start& target, instant now);
 
     /// Records that the result \a handle, made by \a target, was released.
-    void released(const target_start& target, const std::string& handle);
+    void note_released(const target_start& target, const std::string& handle);
 
     /// A job removed from the planner, with the handles of the results made so
     /// far in the order of the pieces.
-    struct finished_job
+    struct removed_job
     {
-        piece_job job;
+        stage_job job;
         std::vector<std::string> handles;
     };
     /// Removes and returns the jobs of which all results are available.
-    std::vector<finished_job> take_finished();
+    std::vector<removed_job> take_finished();
 
     /// Removes and returns the jobs that can no longer be done in time.
-    std::vector<finished_job> take_expired(instant now,
-                                           const outlook& downstream = {});
+    std::vector<removed_job>
+    take_expired(instant now, const downstream_estimates& downstream = {});
 
     /// Removes and returns the job \a number, or returns nothing.
-    std::optional<finished_job> take(std::uint64_t number);
+    std::optional<removed_job> take(std::uint64_t number);
 
     /// Returns the job \a number, or null.
-    const piece_job* find(std::uint64_t number) const;
+    const stage_job* find(std::uint64_t number) const;
 
     /// Whether the job \a number has pieces that are in no call yet.
-    bool has_waiting(std::uint64_t number) const;
+    bool has_waiting_pieces(std::uint64_t number) const;
 
     /// Whether the job \a number has pieces in a call now.
-    bool is_under_way(std::uint64_t number) const;
+    bool is_in_progress(std::uint64_t number) const;
 
     /// Returns the expected time until a new job would start. A job that can
     /// be on time goes ahead of those that will be late.
     duration expected_wait(instant now, bool is_late = true) const;
 
     /// Returns the moving average of the duration of calls.
-    duration usual_call() const;
+    duration average_call_time() const;
 
     /// Returns the time per piece at the throughput of the whole service with
     /// full calls; a call's fixed time if no target can take calls.
-    duration time_of_piece(instant now) const;
+    duration time_per_piece(instant now) const;
 
     /// Returns the bytes of the results stored at all targets.
-    std::uint64_t kept_bytes() const;
+    std::uint64_t stored_bytes() const;
 
     std::size_t waiting_pieces() const { return m_waiting_pieces; }
     /// Returns the number of waiting pieces of jobs that can be on time.
-    std::size_t waiting_in_time() const;
+    std::size_t waiting_pieces_on_time() const;
     std::size_t waiting_jobs() const { return m_jobs.size(); }
 
 private:
     struct job_state
     {
-        piece_job job;
+        stage_job job;
         std::vector<std::uint32_t> waiting; ///< Pieces that are in no call.
         std::map<std::uint32_t, std::string> made; ///< Handles, by piece.
-        std::uint32_t crashes = 0; ///< Suspected ones, see note_target_ended().
+        std::uint32_t crashes = 0; ///< See note_suspected_crash().
 
-        bool is_under_way() const
+        bool is_in_progress() const
         {
             return waiting.size() + made.size() < job.pieces;
         }
@@ -152,16 +154,16 @@
     std::vector<stage_target*> free_targets(instant now);
     bool is_probe_due(const stage_target& target, instant now) const;
     bool has_faster_alternative(const stage_target& target, instant now) const;
-    bool waits_for_zone(const piece_job& job, const stage_target& target,
+    bool waits_for_zone(const stage_job& job, const stage_target& target,
                         instant now) const;
-    std::vector<job_state*> jobs_by_urgency(const stage_target& target,
-                                            instant now,
-                                            const outlook& downstream);
+    std::vector<job_state*>
+    jobs_by_urgency(const stage_target& target, instant now,
+                    const downstream_estimates& downstream);
     bool may_join(const job_state& state, const planned_call& call) const;
     void fill(planned_call& call, stage_target& target, instant now,
-              const outlook& downstream);
+              const downstream_estimates& downstream);
     void requeue_results_of(const stage_target& maker);
-    finished_job remove(std::map<std::uint64_t, job_state>::iterator entry);
+    removed_job remove(std::map<std::uint64_t, job_state>::iterator entry);
 
     catalog::call_shape m_shape;
     std::map<target_start, stage_target> m_targets;
--- a/packages/decision/call_planner_estimates.cpp
+++ b/packages/decision/call_planner_estimates.cpp
@@ -5,7 +5,7 @@
 namespace mangofold::decision
 {
 
-std::uint64_t call_planner::kept_bytes() const
+std::uint64_t call_planner::stored_bytes() const
 {
     std::uint64_t sum = 0;
     for (const auto& [id, target] : m_targets)
@@ -13,14 +13,14 @@
     return sum;
 }
 
-duration call_planner::usual_call() const
+duration call_planner::average_call_time() const
 {
     return m_average_call_ns == 0
                ? m_shape.per_call
                : duration(static_cast<duration::rep>(m_average_call_ns));
 }
 
-duration call_planner::time_of_piece(instant now) const
+duration call_planner::time_per_piece(instant now) const
 {
     double pieces_per_ns = 0;
     for (const auto& [id, target] : m_targets)
@@ -36,7 +36,7 @@
     return duration(static_cast<duration::rep>(1 / pieces_per_ns));
 }
 
-std::size_t call_planner::waiting_in_time() const
+std::size_t call_planner::waiting_pieces_on_time() const
 {
     std::size_t pieces = 0;
     for (const auto& [number, state] : m_jobs)
@@ -56,8 +56,8 @@
                          ? std::max({target.free_at, target.backoff_until, now})
                          : now);
     const std::size_t pieces_ahead =
-        is_late ? m_waiting_pieces : waiting_in_time();
-    return time_of_piece(now) * static_cast<duration::rep>(pieces_ahead) +
+        is_late ? m_waiting_pieces : waiting_pieces_on_time();
+    return time_per_piece(now) * static_cast<duration::rep>(pieces_ahead) +
            (first_free - now);
 }
 
--- a/packages/decision/call_planner_jobs.cpp
+++ b/packages/decision/call_planner_jobs.cpp
@@ -5,18 +5,18 @@
 namespace mangofold::decision
 {
 
-call_planner::finished_job
+call_planner::removed_job
 call_planner::remove(std::map<std::uint64_t, job_state>::iterator entry)
 {
     m_waiting_pieces -= entry->second.waiting.size();
-    finished_job removed{std::move(entry->second.job), {}};
+    removed_job removed{std::move(entry->second.job), {}};
     for (auto& [piece, handle] : entry->second.made)
         removed.handles.push_back(std::move(handle));
     m_jobs.erase(entry);
     return removed;
 }
 
-std::optional<call_planner::finished_job>
+std::optional<call_planner::removed_job>
 call_planner::take(std::uint64_t number)
 {
     const auto found = m_jobs.find(number);
@@ -30,27 +30,27 @@
     take(number);
 }
 
-bool call_planner::has_waiting(std::uint64_t number) const
+bool call_planner::has_waiting_pieces(std::uint64_t number) const
 {
     const auto found = m_jobs.find(number);
     return found != m_jobs.end() && !found->second.waiting.empty();
 }
 
-bool call_planner::is_under_way(std::uint64_t number) const
+bool call_planner::is_in_progress(std::uint64_t number) const
 {
     const auto found = m_jobs.find(number);
-    return found != m_jobs.end() && found->second.is_under_way();
+    return found != m_jobs.end() && found->second.is_in_progress();
 }
 
-const piece_job* call_planner::find(std::uint64_t number) const
+const stage_job* call_planner::find(std::uint64_t number) const
 {
     const auto found = m_jobs.find(number);
     return found == m_jobs.end() ? nullptr : &found->second.job;
 }
 
-void call_planner::piece_made(const piece_ref& piece,
-                              const target_start& target,
-                              const std::string& handle, instant now)
+void call_planner::note_piece_made(const piece_ref& piece,
+                                   const target_start& target,
+                                   const std::string& handle, instant now)
 {
     const auto job = m_jobs.find(piece.job);
     const std::uint64_t bytes =
@@ -65,7 +65,7 @@
         m_finished.push_back(piece.job);
 }
 
-void call_planner::piece_lost(const piece_ref& piece)
+void call_planner::requeue_piece(const piece_ref& piece)
 {
     const auto job = m_jobs.find(piece.job);
     if (job == m_jobs.end() || job->second.made.contains(piece.piece))
@@ -74,7 +74,7 @@
     ++m_waiting_pieces;
 }
 
-void call_planner::note_target_ended(const planned_call& call)
+void call_planner::note_suspected_crash(const planned_call& call)
 {
     std::set<std::uint64_t> numbers;
     for (const piece_ref& piece : call.pieces)
@@ -87,17 +87,17 @@
     }
 }
 
-void call_planner::released(const target_start& target,
-                            const std::string& handle)
+void call_planner::note_released(const target_start& target,
+                                 const std::string& handle)
 {
     const auto maker = m_targets.find(target);
     if (maker != m_targets.end())
         maker->second.release(handle);
 }
 
-std::vector<call_planner::finished_job> call_planner::take_finished()
+std::vector<call_planner::removed_job> call_planner::take_finished()
 {
-    std::vector<finished_job> jobs;
+    std::vector<removed_job> jobs;
     for (const std::uint64_t number : m_finished)
         if (auto job = take(number))
             jobs.push_back(std::move(*job));
@@ -105,19 +105,19 @@
     return jobs;
 }
 
-std::vector<call_planner::finished_job>
-call_planner::take_expired(instant now, const outlook& downstream)
+std::vector<call_planner::removed_job>
+call_planner::take_expired(instant now, const downstream_estimates& downstream)
 {
-    std::vector<finished_job> jobs;
+    std::vector<removed_job> jobs;
     for (auto entry = m_jobs.begin(); entry != m_jobs.end();)
     {
         const auto next = std::next(entry);
         const job_state& state = entry->second;
-        if (!state.is_under_way() &&
-            state.job.expires < now + m_shape.per_call +
-                                    downstream.time_after(state.job,
-                                                          m_shape.per_call,
-                                                          state.job.is_late))
+        if (!state.is_in_progress() &&
+            state.job.expires <
+                now + m_shape.per_call +
+                    downstream.remaining_time(state.job, m_shape.per_call,
+                                              state.job.is_late))
             jobs.push_back(remove(entry));
         entry = next;
     }
--- a/packages/decision/engine_choice.cpp
+++ b/packages/decision/engine_choice.cpp
@@ -39,7 +39,8 @@
 /// an engine to which this entry has sent the segments before must not attract
 /// all of the entry's requests.
 double preferred_engine_cost(double uncached_tokens, bool is_replicated,
-                             double shared_tokens, const generation& work)
+                             double shared_tokens,
+                             const generation_request& work)
 {
     const double prefill = is_replicated
                                ? static_cast<double>(work.prompt.back().tokens)
@@ -52,13 +53,14 @@
 
 } // namespace
 
-double engine_choice::uncached(const target_start& id, const generation& work,
-                               instant now) const
+double engine_selector::uncached_tokens(const target_start& id,
+                                        const generation_request& work,
+                                        instant now) const
 {
     const auto found = m_engines.find(id);
     double tokens = 0;
     bool is_cached = found != m_engines.end();
-    for (const shared_part& segment : work.prompt)
+    for (const prompt_segment& segment : work.prompt)
     {
         if (is_cached)
         {
@@ -73,13 +75,13 @@
 }
 
 const listed_target*
-engine_choice::choose(const std::vector<const listed_target*>& candidates,
-                      const std::set<target_start>& tried,
-                      const generation& work, const std::string& zone,
-                      instant now)
+engine_selector::choose(const std::vector<const listed_target*>& candidates,
+                        const std::set<target_start>& tried,
+                        const generation_request& work, const std::string& zone,
+                        instant now)
 {
-    const prompt_homes::home preferred =
-        m_affinity.home_of(candidates, work.prompt, now);
+    const prompt_affinity::preference preferred =
+        m_affinity.preferred_engine(candidates, work.prompt, now);
     double shared_tokens = 0;
     for (std::size_t index = 0; index + 1 < work.prompt.size(); ++index)
         shared_tokens += work.prompt[index].tokens;
@@ -89,7 +91,7 @@
     {
         if (tried.contains(candidate->start))
             continue;
-        double cost = uncached(candidate->start, work, now);
+        double cost = uncached_tokens(candidate->start, work, now);
         if (candidate == preferred.engine)
             cost = preferred_engine_cost(cost, preferred.is_replicated,
                                          shared_tokens, work);
@@ -114,7 +116,7 @@
     return best;
 }
 
-void engine_choice::prune(engine_state& engine, instant now)
+void engine_selector::prune(engine_state& engine, instant now)
 {
     if (engine.last_used.size() < prune_threshold)
         return;
@@ -122,13 +124,13 @@
                   { return segment.second + cache_lifetime <= now; });
 }
 
-double engine_choice::note_sent(const target_start& id, const generation& work,
-                                instant now)
+double engine_selector::note_sent(const target_start& id,
+                                  const generation_request& work, instant now)
 {
-    const double tokens = uncached(id, work, now);
+    const double tokens = uncached_tokens(id, work, now);
     engine_state& engine = m_engines[id];
     prune(engine, now);
-    for (const shared_part& segment : work.prompt)
+    for (const prompt_segment& segment : work.prompt)
         engine.last_used[segment.id] = now;
     engine.queued_tokens += tokens;
     ++engine.running;
@@ -136,20 +138,20 @@
     return tokens;
 }
 
-void engine_choice::note_read(const target_start& id, double tokens)
+void engine_selector::note_prompt_read(const target_start& id, double tokens)
 {
     engine_state& engine = m_engines[id];
     engine.queued_tokens = std::max(0.0, engine.queued_tokens - tokens);
 }
 
-void engine_choice::note_ended(const target_start& id)
+void engine_selector::note_ended(const target_start& id)
 {
     engine_state& engine = m_engines[id];
     engine.running -= engine.running > 0 ? 1 : 0;
 }
 
-void engine_choice::note_failed(const target_start& id, bool is_refusal,
-                                instant now)
+void engine_selector::note_failed(const target_start& id, bool is_refusal,
+                                  instant now)
 {
     engine_state& engine = m_engines[id];
     if (!is_refusal)
@@ -160,7 +162,7 @@
     engine.backoff_until = now + initial_backoff * (1U << doublings);
 }
 
-void engine_choice::note_answered(const target_start& id)
+void engine_selector::note_answered(const target_start& id)
 {
     engine_state& engine = m_engines[id];
     engine.consecutive_failures = 0;
--- a/packages/decision/engine_choice.hpp
+++ b/packages/decision/engine_choice.hpp
@@ -15,13 +15,14 @@
 {
 
 /// A text generation to be placed at a model engine.
-struct generation
+struct generation_request
 {
-    std::vector<shared_part> prompt;
+    std::vector<prompt_segment> prompt;
     /// Bytes of stage results that the engine fetches, by zone.
     std::map<std::string, std::uint64_t> inputs;
 
-    friend bool operator==(const generation&, const generation&) = default;
+    friend bool operator==(const generation_request&,
+                           const generation_request&) = default;
 };
 
 /// Selects the model engine for a generation.
@@ -31,23 +32,23 @@
 /// not in its cache and those of the generations queued ahead. Other costs,
 /// such as fetching results from another zone, are expressed in prefill tokens
 /// too.
-class engine_choice
+class engine_selector
 {
 public:
     /// Returns the engine for \a work among \a candidates, leaving out those
     /// in \a tried; null if none is left.
     const listed_target*
     choose(const std::vector<const listed_target*>& candidates,
-           const std::set<target_start>& tried, const generation& work,
+           const std::set<target_start>& tried, const generation_request& work,
            const std::string& zone, instant now);
 
     /// Records that \a work was sent to \a id. Returns the prefill tokens that
     /// it adds there.
-    double note_sent(const target_start& id, const generation& work,
+    double note_sent(const target_start& id, const generation_request& work,
                      instant now);
 
     /// Records that \a id has read a prompt: \a tokens are no longer queued.
-    void note_read(const target_start& id, double tokens);
+    void note_prompt_read(const target_start& id, double tokens);
 
     void note_ended(const target_start& id);
 
@@ -58,8 +59,8 @@
 
     /// Returns the tokens of \a work that \a id would have to prefill, by what
     /// this entry has sent there.
-    double uncached(const target_start& id, const generation& work,
-                    instant now) const;
+    double uncached_tokens(const target_start& id,
+                           const generation_request& work, instant now) const;
 
 private:
     struct engine_state
@@ -74,7 +75,7 @@
     void prune(engine_state& engine, instant now);
 
     std::unordered_map<target_start, engine_state> m_engines;
-    prompt_homes m_affinity;
+    prompt_affinity m_affinity;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/later_work.hpp
+++ b/packages/decision/later_work.hpp
@@ -12,13 +12,14 @@
 
 /// The expected queueing times of a service, as reported by the entry that
 /// plans its calls.
-struct service_wait
+struct service_wait_times
 {
-    duration in_time{}; ///< Of a new piece that can be on time.
-    duration all{};     ///< Of a new piece that will be late.
-    duration call{};    ///< Average duration of a call.
+    duration on_time{};   ///< Of a new piece that can be on time.
+    duration late{};      ///< Of a new piece that will be late.
+    duration call_time{}; ///< Average duration of a call.
 
-    friend bool operator==(const service_wait&, const service_wait&) = default;
+    friend bool operator==(const service_wait_times&,
+                           const service_wait_times&) = default;
 };
 
 /// Estimates the queueing time at the services of downstream stages, so that
@@ -27,28 +28,28 @@
 /// A request that has started and then waits occupies memory for its results,
 /// which is as scarce as compute time. Results that wait too long are dropped
 /// and have to be made again.
-class later_work
+class downstream_backlog
 {
 public:
     /// Records the wait times that \a service reported at \a now.
-    void note_wait(const std::string& service, const service_wait& reported,
-                   instant now);
+    void note_wait_times(const std::string& service,
+                         const service_wait_times& reported, instant now);
 
     /// Records that a request was started here whose \a work reaches its
     /// service after \a arrives_in. One piece takes \a per_piece of the
     /// capacity of the whole service.
-    void note_begun(const later_pieces& work, duration per_piece, instant now,
-                    duration arrives_in, bool is_late);
+    void note_started(const downstream_pieces& work, duration per_piece,
+                      instant now, duration arrives_in, bool is_late);
 
     /// Returns the time that a new piece would wait at \a service if it
     /// arrives there after \a arrives_in; the service works off its backlog in
     /// the meantime. A piece that can be on time does not wait for late ones.
-    duration wait_at(const std::string& service, instant now,
-                     duration arrives_in, bool is_late) const;
+    duration expected_wait(const std::string& service, instant now,
+                           duration arrives_in, bool is_late) const;
 
     /// Returns the reported duration of a call to \a service, or
     /// \a default_time if none was reported.
-    duration call_at(const std::string& service, duration default_time) const;
+    duration call_time(const std::string& service, duration default_time) const;
 
 private:
     struct started_work
@@ -59,7 +60,7 @@
     };
     struct backlog
     {
-        service_wait reported;
+        service_wait_times reported;
         instant reported_at{};
         std::deque<started_work> arriving; ///< Started here, not there yet.
     };
--- a/packages/decision/piece_job.hpp
+++ b/packages/decision/piece_job.hpp
@@ -12,17 +12,18 @@
 
 /// The pieces that a request still needs from the service of a downstream
 /// stage.
-struct later_pieces
+struct downstream_pieces
 {
     std::string service;
     std::uint32_t pieces = 0;
 
-    friend bool operator==(const later_pieces&, const later_pieces&) = default;
+    friend bool operator==(const downstream_pieces&,
+                           const downstream_pieces&) = default;
 };
 
 /// The pieces of one stage of one request. Any target of the stage's service
 /// can make them.
-struct piece_job
+struct stage_job
 {
     std::uint64_t number = 0; ///< Assigned by the entry that plans the calls.
     std::string request;      ///< Request id.
@@ -34,17 +35,18 @@
                                      ///< that follows others.
     std::uint64_t result_bytes = 0;  ///< Approximate size of one result.
     std::uint64_t input_bytes = 0;   ///< Approximate input size of one piece.
-    std::string zone;      ///< Preferred zone of the results; empty for any.
-    instant asked_at{};    ///< When the planning entry received the job.
-    duration yields{};     ///< Added to the due time when jobs are ordered, so
-                           ///< that jobs of a higher priority go first.
-    instant due{};         ///< All stages should be done, for full value.
-    instant expires{};     ///< All stages must be done, to be of any use.
-    bool is_begun = false; ///< Other stages of the request have started.
-    bool is_late = false;  ///< Expected to miss the due time when it started.
-    std::vector<later_pieces> later; ///< Work at the downstream services.
+    std::string zone;    ///< Preferred zone of the results; empty for any.
+    instant queued_at{}; ///< When the planning entry received the job.
+    duration priority_delay{}; ///< Added to the due time when jobs are ordered,
+                               ///< so that jobs of a higher priority go first.
+    instant due{};             ///< All stages should be done, for full value.
+    instant expires{};         ///< All stages must be done, to be of any use.
+    bool is_started = false;   ///< Other stages of the request have started.
+    bool is_late = false; ///< Expected to miss the due time when it started.
+    /// Work at the services of the downstream stages.
+    std::vector<downstream_pieces> downstream;
 
-    friend bool operator==(const piece_job&, const piece_job&) = default;
+    friend bool operator==(const stage_job&, const stage_job&) = default;
 };
 
 /// Identifies one piece of a job.
@@ -57,12 +59,12 @@
 };
 
 /// How a job ended.
-enum class job_end : std::uint8_t
+enum class job_status : std::uint8_t
 {
-    made,  ///< All results are available.
-    late,  ///< The job expired before it was done.
-    gone,  ///< An input no longer exists.
-    failed ///< No target could make the pieces.
+    completed,  ///< All results are available.
+    expired,    ///< The job expired before it was done.
+    input_lost, ///< An input no longer exists.
+    failed      ///< No target could make the pieces.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/prompt_homes.cpp
+++ b/packages/decision/prompt_homes.cpp
@@ -44,19 +44,19 @@
 
 } // namespace
 
-double prompt_homes::decaying_sum::value(instant now) const
+double prompt_affinity::decaying_sum::value(instant now) const
 {
     return weight * std::exp(-seconds(now - at) / seconds(decay_time));
 }
 
-void prompt_homes::decaying_sum::add(double amount, instant now)
+void prompt_affinity::decaying_sum::add(double amount, instant now)
 {
     weight = value(now) + amount;
     at = now;
 }
 
-void prompt_homes::note_placed(const std::vector<shared_part>& prompt,
-                               double tokens, instant now)
+void prompt_affinity::note_placed(const std::vector<prompt_segment>& prompt,
+                                  double tokens, instant now)
 {
     m_tokens.add(tokens, now);
     m_generations.add(1, now);
@@ -65,7 +65,7 @@
         m_segment_tokens[prompt[index].id].add(tokens, now);
 }
 
-void prompt_homes::prune(instant now)
+void prompt_affinity::prune(instant now)
 {
     if (m_segment_tokens.size() < prune_threshold ||
         now < m_pruned_at + decay_time)
@@ -80,7 +80,8 @@
 // One or two occurrences give no estimate of a segment's share. Taken at face
 // value, they would spread every rare segment over several engines, each of
 // which would have to prefill it.
-double prompt_homes::load_share(const std::string& segment, instant now) const
+double prompt_affinity::load_share(const std::string& segment,
+                                   instant now) const
 {
     const double generations = m_generations.value(now);
     if (generations <= 0)
@@ -93,9 +94,9 @@
     return std::min(1.0, counted / std::max(generations, min_generations));
 }
 
-std::size_t prompt_homes::replica_count(const std::string& segment,
-                                        std::size_t engine_count,
-                                        instant now) const
+std::size_t prompt_affinity::replica_count(const std::string& segment,
+                                           std::size_t engine_count,
+                                           instant now) const
 {
     const double wanted =
         load_share(segment, now) * headroom * static_cast<double>(engine_count);
@@ -108,9 +109,9 @@
                    static_cast<double>(engine_count)));
 }
 
-prompt_homes::home
-prompt_homes::home_of(const std::vector<const listed_target*>& engines,
-                      const std::vector<shared_part>& prompt, instant now) const
+prompt_affinity::preference prompt_affinity::preferred_engine(
+    const std::vector<const listed_target*>& engines,
+    const std::vector<prompt_segment>& prompt, instant now) const
 {
     if (prompt.size() < 2 || engines.empty())
         return {};
--- a/packages/decision/prompt_homes.hpp
+++ b/packages/decision/prompt_homes.hpp
@@ -12,12 +12,13 @@
 {
 
 /// A consecutive part of a prompt, which engines cache as a unit.
-struct shared_part
+struct prompt_segment
 {
     std::string id;
     std::uint32_t tokens = 0;
 
-    friend bool operator==(const shared_part&, const shared_part&) = default;
+    friend bool operator==(const prompt_segment&,
+                           const prompt_segment&) = default;
 };
 
 /// Prompt cache affinity: decides which engines should cache the segments that
@@ -30,28 +31,30 @@
 /// the load of all entries. The requests that one entry has in progress at an
 /// engine would say little about the engine's load where hundreds of entries
 /// use it.
-class prompt_homes
+class prompt_affinity
 {
 public:
     /// Records that a generation with \a prompt was placed at \a now and costs
     /// the engine \a tokens of prefill.
-    void note_placed(const std::vector<shared_part>& prompt, double tokens,
+    void note_placed(const std::vector<prompt_segment>& prompt, double tokens,
                      instant now);
 
     /// The engine that should cache the shared segments of a prompt.
-    struct home
+    struct preference
     {
         const listed_target* engine = nullptr; ///< Null if nothing is shared.
         bool is_replicated = false; ///< Several engines cache the segments.
 
-        friend bool operator==(const home&, const home&) = default;
+        friend bool operator==(const preference&, const preference&) = default;
     };
 
     /// Returns which of \a engines should cache the shared segments of
     /// \a prompt. The last segment is taken to belong to the request alone or
     /// to its session.
-    home home_of(const std::vector<const listed_target*>& engines,
-                 const std::vector<shared_part>& prompt, instant now) const;
+    preference
+    preferred_engine(const std::vector<const listed_target*>& engines,
+                     const std::vector<prompt_segment>& prompt,
+                     instant now) const;
 
 private:
     /// A sum whose terms decay exponentially with their age.
--- a/packages/serving/elected_maker.cpp
+++ b/packages/serving/elected_maker.cpp
@@ -45,7 +45,7 @@
             make(one.service, std::move(one.job), std::move(one.wait));
 }
 
-void elected_maker::make(const std::string& service, decision::piece_job job,
+void elected_maker::make(const std::string& service, decision::stage_job job,
                          piece_wait_ptr wait)
 {
     if (!m_is_open)
@@ -57,7 +57,7 @@
 }
 
 void elected_maker::make_here(const std::string& service,
-                              decision::piece_job job, piece_wait_ptr wait)
+                              decision::stage_job job, piece_wait_ptr wait)
 {
     m_own.add(
         service, std::move(job),
--- a/packages/serving/elected_maker.hpp
+++ b/packages/serving/elected_maker.hpp
@@ -18,14 +18,14 @@
     /// Hands out what was kept back until it is known who gathers.
     awaitable<void> run();
 
-    void make(const std::string& service, decision::piece_job job,
+    void make(const std::string& service, decision::stage_job job,
               piece_wait_ptr wait) override;
     void release(const std::string& service,
                  std::vector<std::string> handles) override;
 
 private:
     void hand_out();
-    void make_here(const std::string& service, decision::piece_job job,
+    void make_here(const std::string& service, decision::stage_job job,
                    piece_wait_ptr wait);
 
     entry_context& m_context;
--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -92,7 +92,7 @@
     instant requests_wait_until{};
     target_links links;
     decision::target_standing standing;
-    decision::engine_choice engines;
+    decision::engine_selector engines;
     decision::quarantine quarantine;
     /// The place of this entry among all for a matter; alone where unset.
     std::function<decision::seat(const std::string&)> seat_for =
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -78,9 +78,9 @@
     return *m_content;
 }
 
-decision::generation exchange::generation() const
+decision::generation_request exchange::generation() const
 {
-    decision::generation work;
+    decision::generation_request work;
     for (const prompt_part& part : m_facts.prompt)
         work.prompt.push_back({part.id, part.tokens});
     if (m_stages)
@@ -196,7 +196,7 @@
     if (!is_engine())
         return;
     if (!m_is_first_read)
-        m_context.engines.note_read(target, m_tokens_ahead);
+        m_context.engines.note_prompt_read(target, m_tokens_ahead);
     m_context.engines.note_ended(target);
 }
 
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -117,7 +117,7 @@
     duration left() const;
     bool is_over() const { return left() <= duration::zero(); }
     bool is_engine() const;
-    decision::generation generation() const;
+    decision::generation_request generation() const;
 
     entry_context& m_context;
     std::shared_ptr<caller_session> m_session;
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -138,8 +138,8 @@
                 m_is_first_read = true;
                 if (m_first_at == instant{})
                     m_first_at = m_context.now();
-                m_context.engines.note_read(call.target().start,
-                                            m_tokens_ahead);
+                m_context.engines.note_prompt_read(call.target().start,
+                                                   m_tokens_ahead);
                 m_context.engines.note_answered(call.target().start);
                 m_context.routes[m_route->name].first.add(m_context.now() -
                                                           m_sent_at);
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -54,7 +54,7 @@
 awaitable<bool> exchange::make_stages()
 {
     constexpr int most_tries = 2;
-    auto end = decision::job_end::failed;
+    auto end = decision::job_status::failed;
     // How long an engine takes depends on the prompt and the answer, and so on
     // the route.
     const auto& engine = m_context.routes[m_route->name];
@@ -71,10 +71,10 @@
         m_stages_at = m_context.now();
         m_is_begun_late = m_stages->is_late();
         m_stages_done = m_stages->done_after(m_began);
-        if (end == decision::job_end::made)
+        if (end == decision::job_status::completed)
             co_return true;
         // A result that went with its maker is made again, from the start.
-        if (end == decision::job_end::late)
+        if (end == decision::job_status::expired)
             break;
         if (is_wholly_evacuated(true))
         {
@@ -85,7 +85,7 @@
         if (is_kept_back)
             co_return false;
     }
-    const bool is_late = end == decision::job_end::late;
+    const bool is_late = end == decision::job_status::expired;
     m_context.count("stages_ended", "how", is_late ? "late" : "failed");
     m_refusal = is_late ? refusal::stages_late : refusal::stages_failed;
     co_return false;
--- a/packages/serving/gatherer.cpp
+++ b/packages/serving/gatherer.cpp
@@ -31,10 +31,10 @@
 
 gatherer::gatherer(entry_context& context) : m_context(context)
 {
-    m_outlook.time_after =
-        [this](const decision::piece_job& job, duration call, bool is_late)
+    m_outlook.remaining_time =
+        [this](const decision::stage_job& job, duration call, bool is_late)
     { return foresee(job, call, is_late).time_after; };
-    m_outlook.may_begin = [this](const decision::piece_job& job, duration call)
+    m_outlook.may_start = [this](const decision::stage_job& job, duration call)
     { return foresee(job, call, job.is_late).may_begin; };
 }
 
@@ -71,17 +71,17 @@
     return sum;
 }
 
-void gatherer::add(const std::string& service, decision::piece_job job,
+void gatherer::add(const std::string& service, decision::stage_job job,
                    outcome_sink done, interest wanted, fetch_notice fetched)
 {
     line* one = line_of(service);
     if (one == nullptr)
     {
-        done({decision::job_end::failed, {}, false});
+        done({decision::job_status::failed, {}, false});
         return;
     }
     job.number = m_next_number++;
-    job.asked_at = m_context.now();
+    job.queued_at = m_context.now();
     one->asked[job.number] = {
         std::move(done), std::move(wanted), std::move(fetched), false, 0, {}};
     one->used_at = m_context.now();
@@ -106,7 +106,7 @@
     const instant now = m_context.now();
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        const decision::piece_job* job = one.planner.find(ref.job);
+        const decision::stage_job* job = one.planner.find(ref.job);
         if (job == nullptr)
             continue;
         found.push_back({job->request, job->stage, ref.piece,
@@ -143,7 +143,7 @@
     {
         const auto asked = one.asked.find(ref.job);
         if (asked == one.asked.end() || asked->second.is_fetched ||
-            one.planner.has_waiting(ref.job))
+            one.planner.has_waiting_pieces(ref.job))
             continue;
         asked->second.is_fetched = true;
         asked->second.fetched();
@@ -156,7 +156,7 @@
     const auto* target = m_context.directory.find(plan.target);
     if (target == nullptr)
     {
-        one.planner.call_failed(plan, false, m_context.now());
+        one.planner.note_call_failed(plan, false, m_context.now());
         lose(one, plan);
         co_return;
     }
@@ -166,7 +166,7 @@
         call_target{target->start, runtime::address::parse(target->address)});
     const http_request request =
         m_context.speech.make_pieces(plan.target.id, orders(one, plan));
-    const duration most = plan.expected * most_times + most_more;
+    const duration most = plan.expected_time * most_times + most_more;
     start(m_context.loop, note_fetched(service, plan, fetch_time(one, plan)));
     auto got = co_await sent->begin(request, {}, most);
     while (got == target_call::state::good && !sent->is_complete())
@@ -177,7 +177,7 @@
     constexpr unsigned ok = 200;
     if (got == target_call::state::good && sent->head().result_int() == ok)
     {
-        one.planner.call_done(plan, now - began, now);
+        one.planner.note_call_answered(plan, now - began, now);
         note_alive(m_context, plan.target, sent->opened_at());
         try
         {
@@ -198,14 +198,14 @@
     {
         const bool is_unsent = got == target_call::state::not_sent;
         if (is_full || is_unsent)
-            one.planner.call_failed(plan, is_full, now);
+            one.planner.note_call_failed(plan, is_full, now);
         else
-            one.planner.call_lost(plan, now);
+            one.planner.note_call_unanswered(plan, now);
         m_context.count("calls_failed", "why", is_full ? "full" : "lost");
         if (got == target_call::state::broken)
         {
             note_target_ends(one, plan, began);
-            one.planner.note_target_ended(plan);
+            one.planner.note_suspected_crash(plan);
         }
         if (!is_full && !is_unsent)
             runtime::event("call_lost")
@@ -256,7 +256,7 @@
         if (got != target_call::state::good)
             m_context.count("releases", "how", "lost");
         for (const std::string& handle : handles)
-            one.planner.released(maker, handle);
+            one.planner.note_released(maker, handle);
         sent->finish();
     }
 }
--- a/packages/serving/gatherer.hpp
+++ b/packages/serving/gatherer.hpp
@@ -29,7 +29,7 @@
     explicit gatherer(entry_context& context);
 
     /// Has \a job made. Exactly one outcome goes to \a done.
-    void add(const std::string& service, decision::piece_job job,
+    void add(const std::string& service, decision::stage_job job,
              outcome_sink done, interest wanted, fetch_notice fetched);
 
     void release(const std::string& service,
@@ -39,11 +39,11 @@
     std::size_t jobs() const;
 
     /// Returns what waits at each service gathered here.
-    std::map<std::string, decision::service_wait> waits() const;
+    std::map<std::string, decision::service_wait_times> waits() const;
 
     /// Notes what waits at a service gathered elsewhere.
     void note_wait(const std::string& service,
-                   const decision::service_wait& said);
+                   const decision::service_wait_times& said);
 
     /// Drives what depends on time only. Never returns.
     awaitable<void> run();
@@ -56,7 +56,7 @@
         fetch_notice fetched;
         bool is_fetched = false;
         std::uint32_t losses = 0; ///< Calls lost with pieces of it.
-        std::optional<decision::job_end> given_up; ///< A target said so.
+        std::optional<decision::job_status> given_up; ///< A target said so.
     };
 
     struct line
@@ -84,9 +84,9 @@
         bool may_begin = true;
     };
 
-    const foresight& foresee(const decision::piece_job& job, duration call,
+    const foresight& foresee(const decision::stage_job& job, duration call,
                              bool is_late);
-    foresight look_ahead(const decision::piece_job& job, duration call,
+    foresight look_ahead(const decision::stage_job& job, duration call,
                          bool is_late) const;
     const catalog::call_shape* shape_of(const std::string& service) const;
     void note_begun(const line& one, const decision::planned_call& plan);
@@ -101,14 +101,14 @@
     void take_results(line& one, const decision::planned_call& plan,
                       const std::vector<piece_result>& results);
     static void give_up(line& one, const decision::piece_ref& piece,
-                        decision::job_end end);
+                        decision::job_status end);
     void let_go(line& one, const std::string& handle);
     static void lose(line& one, const decision::planned_call& plan);
     void note_target_ends(const line& one, const decision::planned_call& plan,
                           instant began);
     static void put_back(line& one, const decision::planned_call& plan);
     void end_job(const std::string& service, line& one, std::uint64_t number,
-                 decision::job_end end, std::vector<std::string> handles,
+                 decision::job_status end, std::vector<std::string> handles,
                  bool was_late = false);
     void end_finished(const std::string& service, line& one);
     void end_unwanted(const std::string& service, line& one);
@@ -118,8 +118,8 @@
     void summarize(const std::string& service, line& one);
 
     entry_context& m_context;
-    decision::later_work m_later;
-    decision::outlook m_outlook;
+    decision::downstream_backlog m_later;
+    decision::downstream_estimates m_outlook;
     std::vector<foresight> m_foreseen;
     instant m_foreseen_at{};
     std::map<std::string, std::unique_ptr<line>> m_lines;
--- a/packages/serving/gatherer_outlook.cpp
+++ b/packages/serving/gatherer_outlook.cpp
@@ -29,7 +29,7 @@
 // A request begins when its next stages can take it about a call's time after
 // this one is done. That keeps each of them busy, and little waiting there.
 // One that will be late only takes what the others leave.
-gatherer::foresight gatherer::look_ahead(const decision::piece_job& job,
+gatherer::foresight gatherer::look_ahead(const decision::stage_job& job,
                                          duration call, bool is_late) const
 {
     const instant now = m_context.now();
@@ -37,24 +37,24 @@
     seen.call = call;
     seen.is_late = is_late;
     duration arrives_in = call;
-    for (const decision::later_pieces& one : job.later)
+    for (const decision::downstream_pieces& one : job.downstream)
     {
         seen.services.push_back(one.service);
         const auto* shape = shape_of(one.service);
         if (shape == nullptr)
             continue;
         const duration wait =
-            m_later.wait_at(one.service, now, arrives_in, is_late);
+            m_later.expected_wait(one.service, now, arrives_in, is_late);
         const duration most =
             shape->per_call * (is_late ? late_within : begin_within);
         seen.may_begin = seen.may_begin && wait <= most;
-        arrives_in += wait + m_later.call_at(one.service, shape->per_call);
+        arrives_in += wait + m_later.call_time(one.service, shape->per_call);
     }
     seen.time_after = arrives_in - call;
     return seen;
 }
 
-const gatherer::foresight& gatherer::foresee(const decision::piece_job& job,
+const gatherer::foresight& gatherer::foresee(const decision::stage_job& job,
                                              duration call, bool is_late)
 {
     const instant now = m_context.now();
@@ -66,9 +66,9 @@
     for (const foresight& one : m_foreseen)
         if (one.call == call && one.is_late == is_late &&
             std::equal(one.services.begin(), one.services.end(),
-                       job.later.begin(), job.later.end(),
+                       job.downstream.begin(), job.downstream.end(),
                        [](const std::string& service,
-                          const decision::later_pieces& later)
+                          const decision::downstream_pieces& later)
                        { return service == later.service; }))
             return one;
     return m_foreseen.emplace_back(look_ahead(job, call, is_late));
@@ -87,12 +87,12 @@
     std::uint64_t last = 0;
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        const decision::piece_job* job = one.planner.find(ref.job);
-        if (job == nullptr || ref.job == last || job->is_begun)
+        const decision::stage_job* job = one.planner.find(ref.job);
+        if (job == nullptr || ref.job == last || job->is_started)
             continue;
         last = ref.job;
-        duration arrives_in = plan.expected;
-        for (const decision::later_pieces& next : job->later)
+        duration arrives_in = plan.expected_time;
+        for (const decision::downstream_pieces& next : job->downstream)
         {
             const auto* shape = shape_of(next.service);
             if (shape == nullptr)
@@ -103,31 +103,33 @@
             const duration per_piece =
                 (shape->per_call / shape->most_pieces + shape->per_piece) /
                 targets;
-            const duration wait =
-                m_later.wait_at(next.service, now, arrives_in, job->is_late);
-            m_later.note_begun(next, per_piece, now, arrives_in, job->is_late);
-            arrives_in += wait + m_later.call_at(next.service, shape->per_call);
+            const duration wait = m_later.expected_wait(
+                next.service, now, arrives_in, job->is_late);
+            m_later.note_started(next, per_piece, now, arrives_in,
+                                 job->is_late);
+            arrives_in +=
+                wait + m_later.call_time(next.service, shape->per_call);
         }
     }
 }
 
-std::map<std::string, decision::service_wait> gatherer::waits() const
+std::map<std::string, decision::service_wait_times> gatherer::waits() const
 {
     const instant now = m_context.now();
-    std::map<std::string, decision::service_wait> found;
+    std::map<std::string, decision::service_wait_times> found;
     for (const auto& [service, one] : m_lines)
         if (one->used_at + still_gathered > now)
             found[service] = {one->planner.expected_wait(now, false),
                               one->planner.expected_wait(now, true),
-                              one->planner.usual_call()};
+                              one->planner.average_call_time()};
     return found;
 }
 
 void gatherer::note_wait(const std::string& service,
-                         const decision::service_wait& said)
+                         const decision::service_wait_times& said)
 {
     m_foreseen.clear();
-    m_later.note_wait(service, said, m_context.now());
+    m_later.note_wait_times(service, said, m_context.now());
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/gatherer_results.cpp
+++ b/packages/serving/gatherer_results.cpp
@@ -28,40 +28,40 @@
         switch (results[index].what)
         {
         case piece_result::kind::made:
-            one.planner.piece_made(ref, plan.target, results[index].handle,
-                                   now);
+            one.planner.note_piece_made(ref, plan.target, results[index].handle,
+                                        now);
             if (one.planner.find(ref.job) == nullptr)
                 let_go(one, results[index].handle);
             break;
         case piece_result::kind::no_room:
             m_context.count("pieces_lost", "why", "room");
             ++one.no_room;
-            one.planner.no_room(plan.target, now);
-            one.planner.piece_lost(ref);
+            one.planner.note_memory_full(plan.target, now);
+            one.planner.requeue_piece(ref);
             break;
         case piece_result::kind::failed:
             m_context.count("pieces_lost", "why", "failed");
-            one.planner.piece_lost(ref);
+            one.planner.requeue_piece(ref);
             break;
         case piece_result::kind::late:
             m_context.count("pieces_lost", "why", "late");
-            give_up(one, ref, decision::job_end::late);
+            give_up(one, ref, decision::job_status::expired);
             break;
         case piece_result::kind::gone:
             m_context.count("pieces_lost", "why", "gone");
-            give_up(one, ref, decision::job_end::gone);
+            give_up(one, ref, decision::job_status::input_lost);
             break;
         }
     }
 }
 
 void gatherer::give_up(line& one, const decision::piece_ref& piece,
-                       decision::job_end end)
+                       decision::job_status end)
 {
     const auto asked = one.asked.find(piece.job);
     if (asked != one.asked.end())
         asked->second.given_up = end;
-    one.planner.piece_lost(piece);
+    one.planner.requeue_piece(piece);
 }
 
 void gatherer::let_go(line& one, const std::string& handle)
@@ -74,7 +74,7 @@
 void gatherer::put_back(line& one, const decision::planned_call& plan)
 {
     for (const decision::piece_ref& ref : plan.pieces)
-        one.planner.piece_lost(ref);
+        one.planner.requeue_piece(ref);
 }
 
 void gatherer::note_target_ends(const line& one,
@@ -84,7 +84,7 @@
     std::uint64_t last = 0;
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        const decision::piece_job* job = one.planner.find(ref.job);
+        const decision::stage_job* job = one.planner.find(ref.job);
         if (job == nullptr || ref.job == std::exchange(last, ref.job))
             continue;
         note_target_end(
@@ -99,20 +99,20 @@
     std::uint64_t last = 0;
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        one.planner.piece_lost(ref);
+        one.planner.requeue_piece(ref);
         const auto asked = one.asked.find(ref.job);
         if (asked == one.asked.end())
             continue;
         if (ref.job != last)
             ++asked->second.losses;
         if (asked->second.is_fetched)
-            asked->second.given_up = decision::job_end::gone;
+            asked->second.given_up = decision::job_status::input_lost;
         last = ref.job;
     }
 }
 
 void gatherer::end_job(const std::string& service, line& one,
-                       std::uint64_t number, decision::job_end end,
+                       std::uint64_t number, decision::job_status end,
                        std::vector<std::string> handles, bool was_late)
 {
     const auto asked = one.asked.find(number);
@@ -121,7 +121,7 @@
     const outcome_sink done = std::move(asked->second.done);
     one.asked.erase(asked);
     std::vector<std::string> kept = handles;
-    const bool is_made = end == decision::job_end::made;
+    const bool is_made = end == decision::job_status::completed;
     if (!is_made)
         handles.clear();
     const bool is_taken = done({end, std::move(handles), was_late});
@@ -132,7 +132,7 @@
 void gatherer::end_finished(const std::string& service, line& one)
 {
     for (auto& done : one.planner.take_finished())
-        end_job(service, one, done.job.number, decision::job_end::made,
+        end_job(service, one, done.job.number, decision::job_status::completed,
                 std::move(done.handles), done.job.is_late);
 }
 
@@ -142,16 +142,16 @@
 void gatherer::end_unwanted(const std::string& service, line& one)
 {
     const bool is_evacuated = m_context.directory.is_evacuated(service);
-    std::vector<std::pair<std::uint64_t, decision::job_end>> ended;
+    std::vector<std::pair<std::uint64_t, decision::job_status>> ended;
     for (const auto& [number, asked] : one.asked)
     {
         if (!asked.wanted())
-            ended.emplace_back(number, decision::job_end::late);
+            ended.emplace_back(number, decision::job_status::expired);
         else if (asked.given_up)
             ended.emplace_back(number, *asked.given_up);
         else if (asked.losses >= most_losses ||
-                 (is_evacuated && !one.planner.is_under_way(number)))
-            ended.emplace_back(number, decision::job_end::failed);
+                 (is_evacuated && !one.planner.is_in_progress(number)))
+            ended.emplace_back(number, decision::job_status::failed);
     }
     for (const auto& [number, end] : ended)
         if (auto job = one.planner.take(number))
@@ -159,7 +159,7 @@
     for (auto& late : one.planner.take_expired(m_context.now(), m_outlook))
     {
         ++one.late;
-        end_job(service, one, late.job.number, decision::job_end::late,
+        end_job(service, one, late.job.number, decision::job_status::expired,
                 std::move(late.handles));
     }
 }
@@ -177,7 +177,7 @@
         .with("waiting_pieces", one.planner.waiting_pieces())
         .with("wait_ms", static_cast<std::uint64_t>(
                              one.planner.expected_wait(now).count() / 1000000))
-        .with("room_used", one.planner.kept_bytes())
+        .with("room_used", one.planner.stored_bytes())
         .with("no_room", one.no_room)
         .with("late", one.late)
         .info();
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -254,7 +254,7 @@
     m_socket->send(frame);
 }
 
-void peer_link::ask(const std::string& service, decision::piece_job job,
+void peer_link::ask(const std::string& service, decision::stage_job job,
                     piece_wait_ptr wait)
 {
     if (m_asked.empty())
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -20,7 +20,7 @@
 struct orphaned_job
 {
     std::string service;
-    decision::piece_job job;
+    decision::stage_job job;
     piece_wait_ptr wait;
 };
 
@@ -74,7 +74,7 @@
     /// Returns when the other entry last answered.
     instant heard_at() const { return m_heard_at; }
 
-    void ask(const std::string& service, decision::piece_job job,
+    void ask(const std::string& service, decision::stage_job job,
              piece_wait_ptr wait);
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -116,9 +116,9 @@
     {
         peer::Backlog& one = *own.add_backlogs();
         one.set_service(service);
-        one.set_in_time_ns(said.in_time.count());
-        one.set_wait_ns(said.all.count());
-        one.set_call_ns(said.call.count());
+        one.set_in_time_ns(said.on_time.count());
+        one.set_wait_ns(said.late.count());
+        one.set_call_ns(said.call_time.count());
     }
     return own;
 }
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -8,7 +8,7 @@
 {
 
 peer::Frame job_frame(const std::string& service,
-                      const decision::piece_job& job, instant now)
+                      const decision::stage_job& job, instant now)
 {
     peer::Frame frame;
     peer::Job& message = *frame.mutable_job();
@@ -26,11 +26,11 @@
     message.set_input_bytes(job.input_bytes);
     message.set_is_late(job.is_late);
     message.set_zone(job.zone);
-    message.set_is_begun(job.is_begun);
-    message.set_yields_ns(job.yields.count());
+    message.set_is_begun(job.is_started);
+    message.set_yields_ns(job.priority_delay.count());
     message.set_due_in_ns((job.due - now).count());
     message.set_expires_in_ns((job.expires - now).count());
-    for (const decision::later_pieces& one : job.later)
+    for (const decision::downstream_pieces& one : job.downstream)
     {
         peer::LaterPieces& later = *message.add_later();
         later.set_service(one.service);
@@ -39,9 +39,9 @@
     return frame;
 }
 
-decision::piece_job job_of(const peer::Job& message, instant now)
+decision::stage_job job_of(const peer::Job& message, instant now)
 {
-    decision::piece_job job;
+    decision::stage_job job;
     job.request = message.request();
     job.content = {message.content_high(), message.content_low()};
     job.stage = message.stage();
@@ -52,12 +52,12 @@
     job.input_bytes = message.input_bytes();
     job.is_late = message.is_late();
     job.zone = message.zone();
-    job.is_begun = message.is_begun();
-    job.yields = duration(message.yields_ns());
+    job.is_started = message.is_begun();
+    job.priority_delay = duration(message.yields_ns());
     job.due = now + duration(message.due_in_ns());
     job.expires = now + duration(message.expires_in_ns());
     for (const peer::LaterPieces& one : message.later())
-        job.later.push_back({one.service(), one.pieces()});
+        job.downstream.push_back({one.service(), one.pieces()});
     return job;
 }
 
@@ -123,8 +123,10 @@
 piece_outcome outcome_of(const peer::JobEnd& message)
 {
     piece_outcome outcome;
-    constexpr auto last = static_cast<std::uint32_t>(decision::job_end::failed);
-    outcome.end = static_cast<decision::job_end>(std::min(message.end(), last));
+    constexpr auto last =
+        static_cast<std::uint32_t>(decision::job_status::failed);
+    outcome.end =
+        static_cast<decision::job_status>(std::min(message.end(), last));
     outcome.was_late = message.was_late();
     outcome.handles.assign(message.handles().begin(), message.handles().end());
     return outcome;
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -18,8 +18,8 @@
 /// Returns the frame that asks for \a job; its times are sent as what is
 /// left of them at \a now, since clocks differ.
 peer::Frame job_frame(const std::string& service,
-                      const decision::piece_job& job, instant now);
-decision::piece_job job_of(const peer::Job& message, instant now);
+                      const decision::stage_job& job, instant now);
+decision::stage_job job_of(const peer::Job& message, instant now);
 
 /// The same of an end of a target.
 void write_end(const decision::target_end& one, instant now,
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -154,7 +154,7 @@
             // Targets may have ended under it: whoever asked must know before
             // it asks again.
             peer::Frame news;
-            if (outcome.end == decision::job_end::failed &&
+            if (outcome.end == decision::job_status::failed &&
                 from->news.write(*news.mutable_ends()))
                 from->socket->send(news);
             from->socket->send(job_end_frame(number, outcome));
--- a/packages/serving/piece_maker.hpp
+++ b/packages/serving/piece_maker.hpp
@@ -14,7 +14,7 @@
 /// How a job ended, with its results in the order of the pieces.
 struct piece_outcome
 {
-    decision::job_end end = decision::job_end::failed;
+    decision::job_status end = decision::job_status::failed;
     std::vector<std::string> handles;
     bool was_late = false; ///< When it was begun.
 
@@ -70,7 +70,7 @@
 
     /// Has \a job made by targets of \a service. The outcome goes to \a wait;
     /// it always comes, at the latest soon after the job's time is over.
-    virtual void make(const std::string& service, decision::piece_job job,
+    virtual void make(const std::string& service, decision::stage_job job,
                       piece_wait_ptr wait) = 0;
 
     /// Lets go of results of \a service.
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -128,21 +128,21 @@
     const bool is_begun = has_begun();
     own.now = step::running;
     own.wait = std::make_shared<piece_wait>(m_changed);
-    decision::piece_job job;
+    decision::stage_job job;
     job.request = m_facts.id;
     job.content = m_content;
     job.stage = static_cast<std::uint32_t>(index);
     job.pieces = own.pieces;
     job.result_bytes = stage.result_bytes;
     job.zone = zone_of(stage);
-    job.yields = m_yields;
+    job.priority_delay = m_yields;
     job.due = m_due;
     job.expires = m_expires;
-    job.is_begun = is_begun;
+    job.is_started = is_begun;
     job.is_late = m_is_late;
     for (const std::size_t one : way_to_end(index))
         if (one != index)
-            job.later.push_back(
+            job.downstream.push_back(
                 {m_route.stages[one].service, m_states[one].pieces});
     if (stage.after.empty())
         job.key = m_facts.piece_key;
@@ -154,7 +154,7 @@
     m_context.pieces->make(stage.service, std::move(job), own.wait);
 }
 
-std::optional<decision::job_end> stage_runner::take_ended()
+std::optional<decision::job_status> stage_runner::take_ended()
 {
     for (state& one : m_states)
     {
@@ -163,7 +163,7 @@
         const piece_outcome& outcome = *one.wait->outcome();
         one.handles = outcome.handles;
         m_is_late = m_is_late || outcome.was_late;
-        if (outcome.end != decision::job_end::made)
+        if (outcome.end != decision::job_status::completed)
             return outcome.end;
         one.now = step::done;
         one.done_at = m_context.now();
@@ -207,7 +207,7 @@
                        [](const state& one) { return one.now == step::done; });
 }
 
-awaitable<decision::job_end> stage_runner::run()
+awaitable<decision::job_status> stage_runner::run()
 {
     for (;;)
     {
@@ -218,7 +218,7 @@
             co_return *bad;
         release_used();
         if (is_done())
-            co_return decision::job_end::made;
+            co_return decision::job_status::completed;
         const bool may_start =
             std::any_of(m_states.begin(), m_states.end(),
                         [this](const state& one) {
@@ -229,7 +229,7 @@
             continue;
         const instant now = m_context.now();
         if (m_is_aborted || now >= m_expires + outcome_slack)
-            co_return decision::job_end::late;
+            co_return decision::job_status::expired;
         co_await m_changed->wait(m_expires + outcome_slack - now);
     }
 }
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -25,7 +25,7 @@
     stage_runner& operator=(const stage_runner&) = delete;
 
     /// Makes all stages. Returns how it ended; made() holds the results.
-    awaitable<decision::job_end> run();
+    awaitable<decision::job_status> run();
 
     /// Stops at once, from outside.
     void abort();
@@ -70,7 +70,7 @@
     std::vector<std::string> inputs_of(std::size_t index) const;
     std::string zone_of(const catalog::stage& stage) const;
     /// Takes in what has ended. Returns how the first bad one ended.
-    std::optional<decision::job_end> take_ended();
+    std::optional<decision::job_status> take_ended();
     bool is_fetched(std::size_t index) const;
     void release_used();
     bool is_done() const;
--- a/tests/decision/call_planner_test.cpp
+++ b/tests/decision/call_planner_test.cpp
@@ -20,9 +20,9 @@
     return {1, 2, 10, 200ms, 10ms, 31000, 4s};
 }
 
-piece_job make_job(std::uint64_t number, std::uint32_t pieces, duration due)
+stage_job make_job(std::uint64_t number, std::uint32_t pieces, duration due)
 {
-    piece_job result;
+    stage_job result;
     result.number = number;
     result.request = "r" + std::to_string(number);
     result.pieces = pieces;
@@ -44,12 +44,13 @@
 
 void complete_call(call_planner& planner, const planned_call& call, instant now)
 {
-    planner.call_done(call, call.expected, now);
+    planner.note_call_answered(call, call.expected_time, now);
     for (const piece_ref& piece : call.pieces)
-        planner.piece_made(piece, call.target,
-                           call.target.id + "/" + std::to_string(piece.job) +
-                               "." + std::to_string(piece.piece),
-                           now);
+        planner.note_piece_made(piece, call.target,
+                                call.target.id + "/" +
+                                    std::to_string(piece.job) + "." +
+                                    std::to_string(piece.piece),
+                                now);
 }
 
 } // namespace
@@ -64,7 +65,7 @@
     REQUIRE(call);
     CHECK(call->pieces.size() == 8);
     CHECK(planner.waiting_pieces() == 4);
-    CHECK(call->expected == 280ms);
+    CHECK(call->expected_time == 280ms);
     for (const piece_ref& piece : call->pieces)
         CHECK(piece.job != 1);
     CHECK_FALSE(planner.next_call(start));
@@ -92,9 +93,9 @@
     planner.set_targets({{"t0", "a"}, {"t1", "b"}});
     const auto job_for_zone_b = [](std::uint64_t number)
     {
-        piece_job result = make_job(number, 4, 3s);
+        stage_job result = make_job(number, 4, 3s);
         result.zone = "b";
-        result.asked_at = start;
+        result.queued_at = start;
         return result;
     };
     planner.add(job_for_zone_b(1));
@@ -104,7 +105,7 @@
     // t1 is free again after 240 ms, longer than the job waits.
     planner.add(job_for_zone_b(2));
     CHECK(planner.next_call(start + 10ms)->target == "t0");
-    planner.call_done(*first, 240ms, start + 240ms);
+    planner.note_call_answered(*first, 240ms, start + 240ms);
     planner.add(job_for_zone_b(3));
     CHECK(planner.next_call(start + 240ms)->target == "t1");
 }
@@ -113,12 +114,12 @@
 {
     call_planner planner(shape());
     planner.set_targets({{"t0", "a"}, {"t1", "b"}});
-    piece_job zone_b_job = make_job(1, 4, 3s);
+    stage_job zone_b_job = make_job(1, 4, 3s);
     zone_b_job.zone = "b";
-    zone_b_job.asked_at = start;
+    zone_b_job.queued_at = start;
     planned_call failed_call;
     failed_call.target = "t1";
-    planner.call_failed(failed_call, false, start);
+    planner.note_call_failed(failed_call, false, start);
     planner.add(zone_b_job);
     REQUIRE(planner.next_call(start));
 }
@@ -134,7 +135,7 @@
         planner.add(make_job(number, 10, 9s));
         const auto call = planner.next_call(start + number * 1s);
         REQUIRE(call);
-        planner.call_lost(*call, start + number * 1s);
+        planner.note_call_unanswered(*call, start + number * 1s);
         planner.cancel(number);
     }
     planner.add(make_job(4, 10, 9s));
@@ -180,14 +181,14 @@
     planner.add(make_job(4, 10, 1s));
     CHECK_FALSE(planner.next_call(start + 300ms));
     for (int piece = 0; piece < 10; ++piece)
-        planner.released("t0", "t0/1." + std::to_string(piece));
+        planner.note_released("t0", "t0/1." + std::to_string(piece));
     CHECK(planner.next_call(start + 300ms));
     // Results that are never released expire.
     planner.add(make_job(5, 10, 6s));
     CHECK(planner.next_call(start + 5s) == std::nullopt);
     planned_call other;
     other.target = "t0";
-    planner.call_done(other, 200ms, start + 5s);
+    planner.note_call_answered(other, 200ms, start + 5s);
     CHECK(planner.next_call(start + 5s));
 }
 
@@ -200,10 +201,10 @@
     call_planner planner = make_planner(2);
     planner.add(make_job(1, 10, 1s));
     const auto first = planner.next_call(start);
-    planner.call_done(*first, 1500ms, start + 1500ms);
+    planner.note_call_answered(*first, 1500ms, start + 1500ms);
     for (const piece_ref& piece : first->pieces)
-        planner.piece_lost(piece);
-    planner.call_done(*first, 1500ms, start + 1500ms);
+        planner.requeue_piece(piece);
+    planner.note_call_answered(*first, 1500ms, start + 1500ms);
     const auto second = planner.next_call(start + 1500ms);
     REQUIRE(second);
     CHECK(second->target != first->target);
@@ -219,9 +220,9 @@
     call_planner planner = make_planner(2);
     planner.add(make_job(1, 10, 1s));
     const auto slow = planner.next_call(start);
-    planner.call_done(*slow, 1500ms, start);
+    planner.note_call_answered(*slow, 1500ms, start);
     for (const piece_ref& piece : slow->pieces)
-        planner.piece_lost(piece);
+        planner.requeue_piece(piece);
     const auto fast = planner.next_call(start);
     REQUIRE(fast->target != slow->target);
     planner.add(make_job(2, 4, 20s));
@@ -232,7 +233,7 @@
     CHECK(probe->target == slow->target);
     CHECK(probe->pieces.size() == 4);
     CHECK(probe->pieces[0].job == 3);
-    planner.call_done(*probe, 240ms, start + 1240ms);
+    planner.note_call_answered(*probe, 240ms, start + 1240ms);
     planner.add(make_job(4, 4, 4s));
     const auto again = planner.next_call(start + 1240ms);
     REQUIRE(again);
@@ -244,13 +245,13 @@
     call_planner planner = make_planner(1);
     planner.add(make_job(1, 1, 9s));
     auto call = planner.next_call(start);
-    planner.piece_lost(call->pieces[0]);
-    planner.call_failed(*call, false, start);
+    planner.requeue_piece(call->pieces[0]);
+    planner.note_call_failed(*call, false, start);
     CHECK_FALSE(planner.next_call(start + 199ms));
     call = planner.next_call(start + 200ms);
     REQUIRE(call);
-    planner.piece_lost(call->pieces[0]);
-    planner.call_failed(*call, false, start + 200ms);
+    planner.requeue_piece(call->pieces[0]);
+    planner.note_call_failed(*call, false, start + 200ms);
     CHECK_FALSE(planner.next_call(start + 599ms));
     CHECK(planner.next_call(start + 600ms));
 }
@@ -281,8 +282,8 @@
 TEST_CASE("a started request goes before requests that are due later")
 {
     call_planner planner = make_planner(1);
-    piece_job started = make_job(1, 10, 50ms);
-    started.is_begun = true;
+    stage_job started = make_job(1, 10, 50ms);
+    started.is_started = true;
     planner.add(started);
     planner.add(make_job(2, 10, 900ms));
     CHECK(planner.next_call(start)->pieces[0].job == 1);
@@ -291,13 +292,13 @@
 TEST_CASE("a request does not start if a downstream stage cannot take it")
 {
     call_planner planner = make_planner(2);
-    piece_job blocked = make_job(1, 4, 100ms);
-    blocked.later = {{"later", 9}};
+    stage_job blocked = make_job(1, 4, 100ms);
+    blocked.downstream = {{"later", 9}};
     planner.add(blocked);
     planner.add(make_job(2, 4, 900ms));
-    outlook downstream;
-    downstream.may_begin = [](const piece_job& candidate, duration)
-    { return candidate.later.empty(); };
+    downstream_estimates downstream;
+    downstream.may_start = [](const stage_job& candidate, duration)
+    { return candidate.downstream.empty(); };
     const auto call = planner.next_call(start, downstream);
     REQUIRE(call);
     CHECK(call->pieces.size() == 4);
@@ -311,8 +312,8 @@
     call_planner planner = make_planner(1);
     planner.add(make_job(1, 10, 500ms));
     planner.add(make_job(2, 10, 900ms));
-    outlook downstream;
-    downstream.time_after = [](const piece_job& candidate, duration, bool)
+    downstream_estimates downstream;
+    downstream.remaining_time = [](const stage_job& candidate, duration, bool)
     { return candidate.number == 1 ? duration(400ms) : duration(100ms); };
     CHECK(planner.next_call(start, downstream)->pieces[0].job == 2);
     CHECK(planner.take_expired(start + 3800ms, downstream).empty());
@@ -322,8 +323,8 @@
 TEST_CASE("a job of low priority is ordered as if due later")
 {
     call_planner planner = make_planner(1);
-    piece_job low_priority = make_job(1, 10, 800ms);
-    low_priority.yields = 300ms;
+    stage_job low_priority = make_job(1, 10, 800ms);
+    low_priority.priority_delay = 300ms;
     planner.add(low_priority);
     planner.add(make_job(2, 10, 1s));
     CHECK(planner.next_call(start)->pieces[0].job == 2);
@@ -335,9 +336,9 @@
 TEST_CASE("a started job has no priority delay")
 {
     call_planner planner = make_planner(1);
-    piece_job started = make_job(1, 10, 800ms);
-    started.yields = 300ms;
-    started.is_begun = true;
+    stage_job started = make_job(1, 10, 800ms);
+    started.priority_delay = 300ms;
+    started.is_started = true;
     planner.add(started);
     planner.add(make_job(2, 10, 1s));
     CHECK(planner.next_call(start)->pieces[0].job == 1);
@@ -367,7 +368,7 @@
     REQUIRE(waiting > 0);
     planner.set_targets({{{"t0", 200}, "a"}});
     CHECK(planner.waiting_pieces() == waiting + first->pieces.size());
-    CHECK(planner.kept_bytes() == 0);
+    CHECK(planner.stored_bytes() == 0);
     const auto next = planner.next_call(start);
     REQUIRE(next);
     CHECK(next->target == target_start("t0", 200));
@@ -400,10 +401,10 @@
     REQUIRE(first->pieces.size() == 10);
     const auto crash = [&planner](const planned_call& call)
     {
-        planner.note_target_ended(call);
-        planner.call_lost(call, start);
+        planner.note_suspected_crash(call);
+        planner.note_call_unanswered(call, start);
         for (const piece_ref& piece : call.pieces)
-            planner.piece_lost(piece);
+            planner.requeue_piece(piece);
     };
     crash(*first);
     const auto half = planner.next_call(start);
--- a/tests/decision/choice_test.cpp
+++ b/tests/decision/choice_test.cpp
@@ -136,33 +136,34 @@
 
 TEST_CASE("generations that share a prompt segment go to one engine")
 {
-    engine_choice first_entry;
-    engine_choice second_entry;
+    engine_selector first_entry;
+    engine_selector second_entry;
     const auto all = targets(8);
-    const generation work{{{"common", 2000}, {"topic", 3000}, {"own", 500}},
-                          {}};
+    const generation_request work{
+        {{"common", 2000}, {"topic", 3000}, {"own", 500}}, {}};
     const auto* first = first_entry.choose(pointers(all), {}, work, "a", start);
     const auto* second =
         second_entry.choose(pointers(all), {}, work, "b", start);
     CHECK(first->start.id == second->start.id);
     first_entry.note_sent(first->start.id, work, start);
-    CHECK(first_entry.uncached(first->start.id, work, start + 1s) == 0);
-    CHECK(first_entry.uncached(first->start.id, work, start + 60s) == 5500);
+    CHECK(first_entry.uncached_tokens(first->start.id, work, start + 1s) == 0);
+    CHECK(first_entry.uncached_tokens(first->start.id, work, start + 60s) ==
+          5500);
 }
 
 // Guards against sending all requests about a popular topic to one engine,
 // where they queue up.
 TEST_CASE("a popular segment is spread over several engines")
 {
-    engine_choice selector;
+    engine_selector selector;
     const auto all = targets(8);
     std::set<std::string> used;
     for (int number = 0; number < 40; ++number)
     {
-        const generation work{{{"common", 2000},
-                               {"topic", 3000},
-                               {"own" + std::to_string(number), 2000}},
-                              {}};
+        const generation_request work{{{"common", 2000},
+                                       {"topic", 3000},
+                                       {"own" + std::to_string(number), 2000}},
+                                      {}};
         const auto* chosen =
             selector.choose(pointers(all), {}, work, "a", start);
         selector.note_sent(chosen->start.id, work, start);
@@ -173,9 +174,9 @@
 
 TEST_CASE("a generation with large inputs is placed in their zone")
 {
-    engine_choice selector;
+    engine_selector selector;
     const auto all = targets(8);
-    const generation work{{{"own", 500}}, {{"b", 8U << 20U}}};
+    const generation_request work{{{"own", 500}}, {{"b", 8U << 20U}}};
     CHECK(selector.choose(pointers(all), {}, work, "a", start)->zone == "b");
 }
 
@@ -196,10 +197,10 @@
     CHECK_FALSE(standing.is_aside(after, start));
     CHECK(standing.in_flight(after) == 0);
 
-    engine_choice selector;
-    generation work;
+    engine_selector selector;
+    generation_request work;
     work.prompt = {{"shared", 1000}, {"own", 10}};
     selector.note_sent(before, work, start);
-    CHECK(selector.uncached(before, work, start) <
-          selector.uncached(after, work, start));
+    CHECK(selector.uncached_tokens(before, work, start) <
+          selector.uncached_tokens(after, work, start));
 }
--- a/tests/decision/later_work_test.cpp
+++ b/tests/decision/later_work_test.cpp
@@ -14,19 +14,20 @@
 
 TEST_CASE("a service that reported nothing has no wait time")
 {
-    const later_work backlog;
-    CHECK(backlog.wait_at("rerank", start, 0ms, false) == 0ms);
-    CHECK(backlog.call_at("rerank", 200ms) == 200ms);
+    const downstream_backlog backlog;
+    CHECK(backlog.expected_wait("rerank", start, 0ms, false) == 0ms);
+    CHECK(backlog.call_time("rerank", 200ms) == 200ms);
 }
 
 TEST_CASE("a reported wait time decreases until the piece arrives")
 {
-    later_work backlog;
-    backlog.note_wait("rerank", {500ms, 500ms, 300ms}, start);
-    CHECK(backlog.call_at("rerank", 200ms) == 300ms);
-    CHECK(backlog.wait_at("rerank", start + 100ms, 0ms, false) == 400ms);
-    CHECK(backlog.wait_at("rerank", start + 100ms, 300ms, false) == 100ms);
-    CHECK(backlog.wait_at("rerank", start + 600ms, 300ms, false) == 0ms);
+    downstream_backlog backlog;
+    backlog.note_wait_times("rerank", {500ms, 500ms, 300ms}, start);
+    CHECK(backlog.call_time("rerank", 200ms) == 300ms);
+    CHECK(backlog.expected_wait("rerank", start + 100ms, 0ms, false) == 400ms);
+    CHECK(backlog.expected_wait("rerank", start + 100ms, 300ms, false) ==
+          100ms);
+    CHECK(backlog.expected_wait("rerank", start + 600ms, 300ms, false) == 0ms);
 }
 
 // Guards against a burst of requests that all start and then wait at the second
@@ -35,14 +36,15 @@
 // and so more requests start.
 TEST_CASE("started work counts at the next stage before it arrives")
 {
-    later_work backlog;
-    backlog.note_wait("rerank", {0ms, 0ms, 300ms}, start);
+    downstream_backlog backlog;
+    backlog.note_wait_times("rerank", {0ms, 0ms, 300ms}, start);
     for (int request = 0; request < 100; ++request)
-        backlog.note_begun({"rerank", 6}, 1ms, start, 300ms, false);
-    CHECK(backlog.wait_at("rerank", start, 300ms, false) == 300ms);
+        backlog.note_started({"rerank", 6}, 1ms, start, 300ms, false);
+    CHECK(backlog.expected_wait("rerank", start, 300ms, false) == 300ms);
     // The second stage itself reports the work that has arrived.
-    backlog.note_wait("rerank", {600ms, 600ms, 300ms}, start + 300ms);
-    CHECK(backlog.wait_at("rerank", start + 300ms, 300ms, false) == 300ms);
+    backlog.note_wait_times("rerank", {600ms, 600ms, 300ms}, start + 300ms);
+    CHECK(backlog.expected_wait("rerank", start + 300ms, 300ms, false) ==
+          300ms);
 }
 
 // Guards against new requests that end late after a burst although there is
@@ -51,9 +53,9 @@
 // but count the whole wait and are taken for late themselves.
 TEST_CASE("work that can be on time does not wait for late work")
 {
-    later_work backlog;
-    backlog.note_wait("rerank", {50ms, 900ms, 300ms}, start);
-    backlog.note_begun({"rerank", 10}, 10ms, start, 10ms, true);
-    CHECK(backlog.wait_at("rerank", start, 20ms, false) == 30ms);
-    CHECK(backlog.wait_at("rerank", start, 20ms, true) == 980ms);
+    downstream_backlog backlog;
+    backlog.note_wait_times("rerank", {50ms, 900ms, 300ms}, start);
+    backlog.note_started({"rerank", 10}, 10ms, start, 10ms, true);
+    CHECK(backlog.expected_wait("rerank", start, 20ms, false) == 30ms);
+    CHECK(backlog.expected_wait("rerank", start, 20ms, true) == 980ms);
 }
--- a/tests/decision/placement_world_test.cpp
+++ b/tests/decision/placement_world_test.cpp
@@ -136,7 +136,7 @@
         return std::string(1, static_cast<char>('a' + number));
     }
 
-    generation make_generation(const workload& load)
+    generation_request make_generation(const workload& load)
     {
         const std::uint64_t topic = m_random.below(load.topics);
         std::uint64_t subtopic = m_random.below(load.subtopics);
@@ -145,7 +145,7 @@
         if (m_random.fraction() < load.hot_share)
             subtopic = topic;
         const std::string name = load.name + std::to_string(topic);
-        generation work;
+        generation_request work;
         work.prompt = {
             {name, load.topic_tokens},
             {name + "/" + std::to_string(subtopic), load.subtopic_tokens},
@@ -156,8 +156,8 @@
     void start_generation(const workload& load)
     {
         const std::size_t entry = m_random.below(m_entries.size());
-        engine_choice& selector = m_entries[entry];
-        const generation work = make_generation(load);
+        engine_selector& selector = m_entries[entry];
+        const generation_request work = make_generation(load);
         const listed_target* target = selector.choose(
             m_candidates, {}, work, zone(entry % zone_count), m_now);
         const auto index = static_cast<std::size_t>(target - m_targets.data());
@@ -174,11 +174,11 @@
                              target->start, expected_tokens});
     }
 
-    double read(engine& reader, const generation& work)
+    double read(engine& reader, const generation_request& work)
     {
         double tokens = 0;
         bool is_cached = true;
-        for (const shared_part& segment : work.prompt)
+        for (const prompt_segment& segment : work.prompt)
         {
             const auto found = reader.last_used.find(segment.id);
             is_cached = is_cached && found != reader.last_used.end() &&
@@ -205,8 +205,8 @@
         {
             if (!running.is_read && running.read_at <= m_now)
             {
-                m_entries[running.entry].note_read(running.target,
-                                                   running.tokens);
+                m_entries[running.entry].note_prompt_read(running.target,
+                                                          running.tokens);
                 running.is_read = true;
             }
             if (running.ends_at <= m_now)
@@ -221,7 +221,7 @@
 
     static constexpr std::size_t no_entry = ~std::size_t{0};
 
-    std::vector<engine_choice> m_entries;
+    std::vector<engine_selector> m_entries;
     std::vector<engine> m_engines;
     std::vector<workload> m_workloads;
     std::vector<listed_target> m_targets;
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -52,7 +52,7 @@
     {
         start(loop, link->run());
         run_until([&] { return link->is_alive(); });
-        decision::piece_job job;
+        decision::stage_job job;
         job.request = "r1";
         wait =
             std::make_shared<piece_wait>(std::make_shared<signal_point>(loop));
--- a/tests/serving/stream_test.cpp
+++ b/tests/serving/stream_test.cpp
@@ -272,9 +272,9 @@
     entry.send(*caller, request("/beside/", "r1", "Pieces: 111\r\n"));
     entry.run_until([&] { return entry.jobs.size() == 3; });
     CHECK(entry.jobs[0].stage == 1);
-    CHECK_FALSE(entry.jobs[0].is_begun);
-    CHECK(entry.jobs[1].is_begun);
-    CHECK(entry.jobs[2].is_begun);
+    CHECK_FALSE(entry.jobs[0].is_started);
+    CHECK(entry.jobs[1].is_started);
+    CHECK(entry.jobs[2].is_started);
     CHECK(entry.jobs[1].stage + entry.jobs[2].stage == 2);
 }
 
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -172,7 +172,7 @@
     return one->received;
 }
 
-void serving_fixture::make(const std::string& service, decision::piece_job job,
+void serving_fixture::make(const std::string& service, decision::stage_job job,
                            piece_wait_ptr wait)
 {
     jobs.push_back(job);
--- a/tests/support/serving_fixture.hpp
+++ b/tests/support/serving_fixture.hpp
@@ -56,9 +56,9 @@
     std::unique_ptr<serving::entry_context> context;
     std::unique_ptr<serving::gatherer> gathering;
     std::unique_ptr<serving::request_server> server;
-    std::vector<decision::piece_job> jobs; ///< As they were asked for.
+    std::vector<decision::stage_job> jobs; ///< As they were asked for.
 
-    void make(const std::string& service, decision::piece_job job,
+    void make(const std::string& service, decision::stage_job job,
               serving::piece_wait_ptr wait) override;
     void release(const std::string& service,
                  std::vector<std::string> handles) override;
