--- a/bench/ablation/mechanisms.py
+++ b/bench/ablation/mechanisms.py
@@ -4,7 +4,7 @@
 
 PLANNER = "packages/decision/call_planner.cpp"
 ROSTER = "packages/decision/entry_roster.cpp"
-ENGINES = "packages/decision/engine_choice.cpp"
+ENGINES = "packages/decision/engine_selector.cpp"
 STAGES = "packages/serving/stage_runner.cpp"
 
 MECHANISMS = [
--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "catalog/catalog.hpp"
-#include "decision/piece_job.hpp"
+#include "decision/stage_job.hpp"
 #include "decision/stage_target.hpp"
 
 #include <cstdint>
--- a/packages/decision/prompt_homes.cpp
+++ b/packages/decision/prompt_affinity.cpp
@@ -1,4 +1,4 @@
-#include "decision/prompt_homes.hpp"
+#include "decision/prompt_affinity.hpp"
 
 #include "decision/election.hpp"
 
--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -3,7 +3,7 @@
 #include "catalog/catalog_index.hpp"
 #include "decision/cold_targets.hpp"
 #include "decision/drain.hpp"
-#include "decision/engine_choice.hpp"
+#include "decision/engine_selector.hpp"
 #include "decision/moving_mean.hpp"
 #include "decision/quarantine.hpp"
 #include "decision/random_source.hpp"
--- a/packages/serving/gatherer.hpp
+++ b/packages/serving/gatherer.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decision/call_planner.hpp"
-#include "decision/later_work.hpp"
+#include "decision/downstream_backlog.hpp"
 #include "serving/entry_context.hpp"
 #include "serving/piece_maker.hpp"
 
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/piece_job.hpp"
+#include "decision/stage_job.hpp"
 #include "decision/target_directory.hpp"
 #include "decision/target_end.hpp"
 #include "decision/zone_evacuations.hpp"
--- a/packages/serving/piece_maker.hpp
+++ b/packages/serving/piece_maker.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/piece_job.hpp"
+#include "decision/stage_job.hpp"
 #include "serving/signal_point.hpp"
 
 #include <memory>
--- a/tests/decision/later_work_test.cpp
+++ b/tests/decision/downstream_backlog_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/later_work.hpp"
+#include "decision/downstream_backlog.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/decision/choice_test.cpp
+++ b/tests/decision/target_selection_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/engine_choice.hpp"
+#include "decision/engine_selector.hpp"
 #include "decision/target_standing.hpp"
 
 #include <doctest/doctest.h>
