--- a/packages/decision/call_planner.cpp
+++ b/packages/decision/call_planner.cpp
@@ -11,8 +11,8 @@
 {
 
 /// Longest backoff of a target after failed calls, in units of a call's fixed
-/// time. The fixed time is also the first backoff: a busy target cannot be free
-/// again sooner.
+/// time. The first backoff is one fixed time: the target cannot be expected to
+/// be free again sooner.
 constexpr double max_backoff_calls = 8;
 
 /// Weight of the latest call in a target's slowdown. With a half, a target
--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -133,6 +133,7 @@
     std::size_t waiting_pieces() const { return m_waiting_pieces; }
     /// Returns the number of waiting pieces of jobs that can be on time.
     std::size_t waiting_pieces_on_time() const;
+    /// Returns the number of jobs in the planner, started ones included.
     std::size_t waiting_jobs() const { return m_jobs.size(); }
 
 private:
--- a/packages/decision/engine_selector.hpp
+++ b/packages/decision/engine_selector.hpp
@@ -65,8 +65,8 @@
 private:
     struct engine_state
     {
-        double queued_tokens = 0; ///< Sent there and not read yet.
-        std::uint32_t running = 0;
+        double queued_tokens = 0;  ///< Sent there and not read yet.
+        std::uint32_t running = 0; ///< Generations.
         std::uint32_t consecutive_failures = 0;
         instant backoff_until{};
         std::unordered_map<std::string, instant> last_used; ///< By segment id.
--- a/packages/decision/prompt_affinity.cpp
+++ b/packages/decision/prompt_affinity.cpp
@@ -16,7 +16,8 @@
 constexpr duration decay_time = std::chrono::seconds(20);
 
 /// Factor on a segment's share of the engines: its load arrives unevenly, and
-/// the segments that follow it are distributed unevenly over its engines.
+/// the requests' own segments, which select one of its engines, are distributed
+/// unevenly over them.
 constexpr double headroom = 1.5;
 
 /// The number of engines of a segment is a power of this base. Entries whose
--- a/packages/decision/stage_job.hpp
+++ b/packages/decision/stage_job.hpp
@@ -39,10 +39,10 @@
     instant queued_at{}; ///< When the planning entry received the job.
     duration priority_delay{}; ///< Added to the due time when jobs are ordered,
                                ///< so that jobs of a higher priority go first.
-    instant due{};             ///< All stages should be done, for full value.
-    instant expires{};         ///< All stages must be done, to be of any use.
-    bool is_started = false;   ///< Other stages of the request have started.
-    bool is_late = false; ///< Expected to miss the due time when it started.
+    instant due{};           ///< When all stages should be done for full value.
+    instant expires{};       ///< When all stages must be done to be of any use.
+    bool is_started = false; ///< Other stages of the request have started.
+    bool is_late = false;    ///< Was expected to be late when it started.
     /// Work at the services of the downstream stages.
     std::vector<downstream_pieces> downstream;
 
