--- a/packages/decision/account_limiter.hpp
+++ b/packages/decision/account_limiter.hpp
@@ -10,22 +10,23 @@
 namespace mangofold::decision
 {
 
-/// What one client account may send through all entries.
+/// The request rate that a client account may reach over all entries.
 struct account_rate
 {
-    double per_s = 0; ///< 0 sets no limit.
-    double burst = 0;
+    double per_s = 0; ///< Requests per second; 0 sets no limit.
+    double burst = 0; ///< Requests that may come at once.
 
     friend auto operator<=>(const account_rate&, const account_rate&) = default;
 };
 
-/// Holds each client account to this entry's share of its rate. Entries share
-/// no counter: each takes an equal part, as many as it believes there are.
+/// Limits each client account to this entry's share of its rate with a token
+/// bucket. Entries share no counters: each one enforces the rate divided by
+/// its estimate of the number of entries.
 class account_limiter
 {
 public:
-    /// Takes one request of \a account. Returns nothing where it may pass,
-    /// otherwise the time until the next one may.
+    /// Counts one request of \a account. Returns nothing if the request is
+    /// admitted, otherwise the time until the next request can be.
     std::optional<duration> take(const std::string& account,
                                  const account_rate& rate, double entries,
                                  instant now);
@@ -33,19 +34,19 @@
     std::size_t size() const { return m_buckets.size(); }
 
 private:
-    struct bucket
+    struct token_bucket
     {
         double tokens;
-        instant filled_at;
+        instant refilled_at;
     };
 
-    std::map<std::string, bucket> m_buckets;
+    std::map<std::string, token_bucket> m_buckets;
 };
 
-/// Returns how many entries there are, from how many one sidecar sees on
-/// average: each sidecar sees the entries that chose it, and each entry
-/// chooses \a links of \a sidecars.
-double estimated_entries(double seen_by_one, std::size_t sidecars,
-                         std::size_t links);
+/// Returns the estimated number of entries. Each entry connects to
+/// \a links_per_entry of the \a sidecars, and each sidecar counts the entries
+/// connected to it: \a mean_entries_seen on average.
+double estimated_entries(double mean_entries_seen, std::size_t sidecars,
+                         std::size_t links_per_entry);
 
 } // namespace mangofold::decision
--- a/packages/decision/admission_queue.hpp
+++ b/packages/decision/admission_queue.hpp
@@ -14,7 +14,7 @@
 namespace mangofold::decision
 {
 
-/// What the queue needs to know of a piece of work.
+/// The attributes of a run by which it is queued and scheduled.
 struct queued_work
 {
     std::uint64_t id = 0;
@@ -26,15 +26,15 @@
     friend bool operator==(const queued_work&, const queued_work&) = default;
 };
 
-/// How many runs of a target each class may hold.
+/// Limits on the slots and the queue space of a target for each class.
 struct class_shares
 {
-    std::size_t bulk_reserve = 0;     ///< Slots that bulk work never holds.
-    std::size_t standard_reserve = 0; ///< Slots that neither bulk nor
-                                      ///< standard work holds.
-    std::size_t max_queued = 512;     ///< Queued work of each class.
+    std::size_t bulk_reserve = 0;     ///< Slots closed to bulk work.
+    std::size_t standard_reserve = 0; ///< Slots closed to bulk and
+                                      ///< standard work.
+    std::size_t max_queued = 512;     ///< Most queued work per class.
 
-    /// Returns the slots that work of class \a priority never holds.
+    /// Returns the number of slots closed to class \a priority.
     std::size_t reserve_for(work_class priority) const
     {
         if (priority == work_class::bulk)
@@ -45,8 +45,9 @@
     friend bool operator==(const class_shares&, const class_shares&) = default;
 };
 
-/// Work that waits for a slot of a target: by class, and within a class by
-/// weighted fair shares of the client accounts.
+/// Queues work until a slot of its target is free. Classes have strict
+/// priority; within a class, weighted fair queuing divides the slots among the
+/// client accounts.
 class admission_queue
 {
 public:
@@ -54,74 +55,77 @@
 
     void set_shares(class_shares shares) { m_shares = shares; }
 
-    /// Queues \a work, or returns why not. \a limit and \a service estimate
-    /// whether the rest of its time can suffice.
+    /// Queues \a work. Returns reason::none, or the reason for a refusal: the
+    /// queue is full, or by the concurrency \a limit and the \a service time
+    /// the work would end after its deadline.
     reason push(const queued_work& work, instant now, std::size_t limit,
                 duration service);
 
-    /// Takes the next work that may start, given the runs in progress.
+    /// Removes and returns the next work that has a free slot under \a limit,
+    /// or nothing.
     std::optional<queued_work> pop(instant now, std::size_t limit);
 
-    /// Notes that a run of class \a priority started or ended.
-    void run_started(work_class priority) { ++running_of(priority); }
-    void run_ended(work_class priority) { --running_of(priority); }
+    /// Records the start or the end of a run of class \a priority.
+    void run_started(work_class priority) { ++running_count(priority); }
+    void run_ended(work_class priority) { --running_count(priority); }
 
-    /// Takes out the work whose time is over.
+    /// Removes and returns the work whose deadline has passed.
     std::vector<queued_work> take_expired(instant now);
 
-    /// Takes out all work.
+    /// Removes and returns all work.
     std::vector<queued_work> take_all();
 
-    /// Removes the work numbered \a id. Returns whether it was queued.
+    /// Removes the work with \a id. Returns whether it was queued.
     bool remove(std::uint64_t id);
 
     std::size_t size() const;
     std::size_t size(work_class priority) const
     {
-        return lane_of(priority).queue.size();
+        return queue_for(priority).items.size();
     }
     std::size_t running() const;
 
-    /// Returns the expected wait of new work of class \a priority.
+    /// Returns the expected queuing time of new work of class \a priority.
     duration expected_wait(work_class priority, std::size_t limit,
                            duration service) const;
 
 private:
-    struct waiting
+    struct queued_item
     {
         queued_work work;
-        double start_tag; ///< Virtual time at which its share comes up.
+        double start_tag; ///< Virtual start time of fair queuing.
     };
 
-    struct lane
+    struct class_queue
     {
-        std::vector<waiting> queue; ///< Sorted by start tag, stable.
+        std::vector<queued_item> items; ///< Sorted by start tag, stable.
+        /// Virtual finish time of the last work of each account.
         std::map<std::string, double> finish_tags;
         double virtual_time = 0;
         std::size_t running = 0;
-        /// When work was last taken out while more was waiting.
-        std::optional<instant> last_taken;
-        duration interval{}; ///< Moving average between two such moments.
+        /// Time of the last dequeue; unset after one that emptied the queue.
+        std::optional<instant> last_dequeued_at;
+        duration dequeue_interval{}; ///< Moving average between dequeues.
     };
 
-    lane& lane_of(work_class priority)
+    class_queue& queue_for(work_class priority)
     {
-        return m_lanes[static_cast<std::size_t>(priority)];
+        return m_queues[static_cast<std::size_t>(priority)];
     }
-    const lane& lane_of(work_class priority) const
+    const class_queue& queue_for(work_class priority) const
     {
-        return m_lanes[static_cast<std::size_t>(priority)];
+        return m_queues[static_cast<std::size_t>(priority)];
     }
-    std::size_t& running_of(work_class priority)
+    std::size_t& running_count(work_class priority)
     {
-        return lane_of(priority).running;
+        return queue_for(priority).running;
     }
-    std::size_t capacity_of(work_class priority, std::size_t limit) const;
+    std::size_t slots_for(work_class priority, std::size_t limit) const;
     bool has_slot(work_class priority, std::size_t limit) const;
-    static void note_taken(lane& own, instant now);
+    static void record_dequeue(class_queue& queue, instant now);
 
     class_shares m_shares;
-    std::array<lane, work_class_count> m_lanes;
+    std::array<class_queue, work_class_count> m_queues;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/attempt_policy.hpp
+++ b/packages/decision/attempt_policy.hpp
@@ -7,12 +7,12 @@
 namespace mangofold::decision
 {
 
-/// Bounds of the attempts at one stage.
+/// Limits on the attempts at one stage.
 struct attempt_policy
 {
-    std::uint32_t max_attempts = 4;      ///< Sendings that may have run.
-    std::uint32_t max_busy_refusals = 2; ///< Targets without room asked.
-    std::uint32_t max_resyncs = 12;      ///< Refusals for being out of step.
+    std::uint32_t max_attempts = 4;      ///< Attempts that may have run.
+    std::uint32_t max_busy_refusals = 2; ///< Refusals for lack of capacity.
+    std::uint32_t max_resyncs = 12;      ///< Other attempts that did not run.
     duration resync_wait = std::chrono::milliseconds(10);
     duration backoff_floor = std::chrono::milliseconds(5);
     duration backoff_ceiling = std::chrono::milliseconds(100);
--- a/packages/decision/attempt_step.hpp
+++ b/packages/decision/attempt_step.hpp
@@ -12,21 +12,23 @@
 namespace mangofold::decision
 {
 
-/// Step: send the next attempt. An empty target leaves the choice to the
-/// router.
+/// Step: send the next attempt to \a target, or where that is empty, to a
+/// target of the router's choice.
 struct send_attempt
 {
     std::uint32_t attempt = 0;
     std::string target;
-    std::vector<std::string> avoid;
+    std::vector<std::string> avoid; ///< Targets that failed or refused.
+    /// The only process of the target that may run the attempt; 0 for any.
     std::uint64_t pinned_incarnation = 0;
+    /// Earlier owners that refused the request for good.
     std::vector<std::string> renounced_by;
     bool uses_ticket = false;
 
     friend bool operator==(const send_attempt&, const send_attempt&) = default;
 };
 
-/// Step: nothing to do until an event or the given instant.
+/// Step: wait for an event, at most until the given instant.
 struct wait_until
 {
     instant until{};
@@ -34,7 +36,7 @@
     friend bool operator==(const wait_until&, const wait_until&) = default;
 };
 
-/// Step: the stage ended.
+/// Step: end the stage with a result.
 struct finish_stage
 {
     stage_result result;
@@ -44,8 +46,9 @@
 
 using attempt_step = std::variant<send_attempt, wait_until, finish_stage>;
 
-/// Whether a refusal says that the entry, not the target, was behind, so
-/// that the same target may be asked again at once.
+/// Whether \a why is a refusal because entry and target are out of sync (an
+/// expired grant, another generation of the manifest, a target that is not
+/// ready yet), so that the same target can be retried after a short delay.
 constexpr bool is_out_of_step(reason why)
 {
     return why == reason::grant_lapsed || why == reason::generation_behind ||
--- a/packages/decision/backoff.hpp
+++ b/packages/decision/backoff.hpp
@@ -6,35 +6,36 @@
 namespace mangofold::decision
 {
 
-/// Growing waits with full jitter between a floor and a ceiling.
+/// Exponential backoff with jitter.
 class backoff
 {
 public:
-    backoff(duration floor, duration ceiling)
-        : m_floor(floor), m_ceiling(ceiling), m_current(floor)
+    backoff(duration min_delay, duration max_delay)
+        : m_min_delay(min_delay), m_max_delay(max_delay), m_step(min_delay)
     {
     }
 
-    /// Returns the next wait: at least the floor, at most the current step,
-    /// which then doubles up to the ceiling.
+    /// Returns half the minimum delay plus a random share of the current step,
+    /// then doubles the step up to the maximum delay.
     duration next(random_source& random);
 
-    /// Sets the step back to the floor after a success.
-    void reset() { m_current = m_floor; }
+    /// Resets the step to the minimum delay after a success.
+    void reset() { m_step = m_min_delay; }
 
 private:
-    duration m_floor;
-    duration m_ceiling;
-    duration m_current;
+    duration m_min_delay;
+    duration m_max_delay;
+    duration m_step;
 };
 
 inline duration backoff::next(random_source& random)
 {
-    const auto span = static_cast<std::uint64_t>((m_current).count());
-    const duration wait =
-        m_floor / 2 + duration(random.below(span > 0 ? span : 1));
-    m_current = m_current * 2 < m_ceiling ? m_current * 2 : m_ceiling;
-    return wait;
+    const auto current_step = static_cast<std::uint64_t>((m_step).count());
+    const duration delay =
+        m_min_delay / 2 +
+        duration(random.below(current_step > 0 ? current_step : 1));
+    m_step = m_step * 2 < m_max_delay ? m_step * 2 : m_max_delay;
+    return delay;
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/concurrency_limit.cpp
+++ b/packages/decision/concurrency_limit.cpp
@@ -6,12 +6,12 @@
 namespace
 {
 
-constexpr double average_share = 0.1;
-// Work differs in length, so only a clear rise over the floor counts.
-constexpr double tolerated_rise = 3.0;
-constexpr double floor_drift = 1.002;
-constexpr double shrink = 0.95;
-constexpr double lowest_share_of_slots = 0.25;
+constexpr double average_weight = 0.1;
+// Service times vary, so only a clear rise over the baseline counts.
+constexpr double max_latency_ratio = 3.0;
+constexpr double baseline_drift = 1.002;
+constexpr double shrink_factor = 0.95;
+constexpr double min_slot_share = 0.25;
 
 } // namespace
 
@@ -24,21 +24,21 @@
 }
 
 void latency_limit::run_ended(duration latency, std::size_t running,
-                              bool is_good)
+                              bool has_succeeded)
 {
     const auto measured = static_cast<double>(latency.count());
     if (m_average_ns == 0)
     {
         m_average_ns = measured;
-        m_floor_ns = measured;
+        m_baseline_ns = measured;
     }
-    m_average_ns += average_share * (measured - m_average_ns);
-    m_floor_ns = std::min(m_floor_ns * floor_drift, m_average_ns);
+    m_average_ns += average_weight * (measured - m_average_ns);
+    m_baseline_ns = std::min(m_baseline_ns * baseline_drift, m_average_ns);
 
     const auto slots = static_cast<double>(m_slots);
-    if (!is_good || m_average_ns > tolerated_rise * m_floor_ns)
+    if (!has_succeeded || m_average_ns > max_latency_ratio * m_baseline_ns)
     {
-        m_limit = std::max(m_limit * shrink, slots * lowest_share_of_slots);
+        m_limit = std::max(m_limit * shrink_factor, slots * min_slot_share);
         return;
     }
     if (static_cast<double>(running) + 1 >= m_limit)
--- a/packages/decision/concurrency_limit.hpp
+++ b/packages/decision/concurrency_limit.hpp
@@ -9,7 +9,7 @@
 namespace mangofold::decision
 {
 
-/// Says how many runs a target may have at once.
+/// Sets how many runs a target may have at once.
 template<typename Policy>
 concept concurrency_policy = requires(Policy policy, const Policy& view,
                                       duration latency, std::size_t running,
@@ -22,7 +22,7 @@
     policy.set_slots(slots);
 };
 
-/// Keeps to the published number of slots.
+/// A constant limit: the published number of slots.
 class fixed_limit
 {
 public:
@@ -36,9 +36,10 @@
     std::size_t m_slots;
 };
 
-/// Follows the measured latency below the published number of slots: it
-/// shrinks while latency is far above the lowest seen, and grows by one for
-/// each limit's worth of good runs.
+/// An adaptive limit of at most the published number of slots. A run that
+/// fails, or that ends while the average latency is far above its baseline,
+/// lowers the limit by a small factor. Successful runs raise it while it is
+/// fully used, by about one for as many runs as the limit.
 class latency_limit
 {
 public:
@@ -53,13 +54,13 @@
     }
 
     void set_slots(std::size_t slots);
-    void run_ended(duration latency, std::size_t running, bool is_good);
+    void run_ended(duration latency, std::size_t running, bool has_succeeded);
 
 private:
     std::size_t m_slots;
     double m_limit;
-    double m_floor_ns = 0;   ///< Slowly rising lowest latency.
-    double m_average_ns = 0; ///< Moving average of the latency.
+    double m_baseline_ns = 0; ///< Lowest average latency, slowly rising.
+    double m_average_ns = 0;  ///< Moving average of the latency.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/drain.cpp
+++ b/packages/decision/drain.cpp
@@ -8,64 +8,66 @@
 namespace
 {
 
-/// How much of the grace is kept back for the end of the process itself.
-constexpr duration end_margin = std::chrono::milliseconds(300);
+/// The part of the grace period that is reserved for the exit of the process.
+constexpr duration exit_reserve = std::chrono::milliseconds(300);
 
-/// A balancer that does not ask has noticed after this long: one that looks
-/// at the connections or the list of instances does so within two seconds.
-constexpr duration longest_notice = std::chrono::milliseconds(2500);
+/// A load balancer that sends no readiness checks is assumed to have noticed
+/// the shutdown after this time: one that watches connections or the list of
+/// instances notices within two seconds.
+constexpr duration max_removal_delay = std::chrono::milliseconds(2500);
 
-/// Callers that were sent here just before the balancer noticed are still on
-/// their way for as long.
-constexpr duration on_the_way = std::chrono::milliseconds(200);
+/// Requests that the load balancer sent just before it noticed the shutdown
+/// arrive within this time.
+constexpr duration in_transit_delay = std::chrono::milliseconds(200);
 
-/// A request that ends sooner than this hardly puts off the end of the
-/// process: less than a caller loses that is sent elsewhere.
-constexpr duration brief = std::chrono::milliseconds(300);
+/// A request shorter than this is accepted: it delays the exit by less than a
+/// refusal and a retry at another entry would cost the caller.
+constexpr duration max_short_request = std::chrono::milliseconds(300);
 
 } // namespace
 
-drain::drain(instant began, duration grace, int answers)
-    : m_began(began), m_grace(grace), m_answers_left(answers)
+drain::drain(instant began, duration grace, int required_replies)
+    : m_began(began), m_grace(grace), m_replies_left(required_replies)
 {
 }
 
 void drain::note_unready_told(instant now)
 {
-    if (m_answers_left > 0 && --m_answers_left == 0)
-        m_told_at = now;
+    if (m_replies_left > 0 && --m_replies_left == 0)
+        m_last_reply_at = now;
 }
 
-instant drain::noticed_at() const
+instant drain::removed_from_rotation_at() const
 {
-    const instant longest = m_began + longest_notice;
-    return m_answers_left > 0 ? longest
-                              : std::min(longest, m_told_at + on_the_way);
+    const instant latest = m_began + max_removal_delay;
+    return m_replies_left > 0
+               ? latest
+               : std::min(latest, m_last_reply_at + in_transit_delay);
 }
 
 bool drain::is_noticed(instant now) const
 {
-    return now >= noticed_at();
+    return now >= removed_from_rotation_at();
 }
 
 instant drain::end() const
 {
-    return m_began + m_grace - end_margin;
+    return m_began + m_grace - exit_reserve;
 }
 
-// Callers that come before the balancer has noticed would be sent here again.
-// After that a long request puts off the end, and so the time at which this
-// instance serves again: others take it where there are enough. Where all
-// entries stop, nobody would; what comes late must end before the process
-// does, however long it takes.
+// A caller that is refused before the load balancer has noticed would be sent
+// to this process again. After that, a long request delays the exit and so the
+// restart of this instance; other entries take the request if enough of them
+// run. If all entries stop, no other would: then a late request is accepted if
+// its longest expected duration ends before the process must.
 bool drain::takes(instant now, const request_time& time,
                   bool is_outlasted) const
 {
     if (!is_noticed(now))
         return true;
     if (is_outlasted)
-        return time.usual <= brief && now + time.longest <= end();
-    return now < m_began + longest_notice || now + time.longest <= end();
+        return time.usual <= max_short_request && now + time.longest <= end();
+    return now < m_began + max_removal_delay || now + time.longest <= end();
 }
 
 bool drain::may_end(instant now, bool is_idle) const
--- a/packages/decision/drain.hpp
+++ b/packages/decision/drain.hpp
@@ -5,30 +5,29 @@
 namespace mangofold::decision
 {
 
-/// How a process that was told to stop goes on for its callers: which new
-/// requests it takes, and when it may end.
+/// Graceful shutdown of an entry: decides which new requests a stopping
+/// process accepts and when the process may exit.
 class drain
 {
 public:
-    /// The process was told to stop at \a began and must have ended after
-    /// \a grace. A balancer sends it no new callers after \a answers to
-    /// whether it is ready that say no.
-    drain(instant began, duration grace, int answers);
+    /// The process was told to stop at \a began and must exit within
+    /// \a grace. The load balancer stops sending new connections after
+    /// \a required_replies readiness checks were answered with "not ready".
+    drain(instant began, duration grace, int required_replies);
 
-    /// Notes that the balancer was told at \a now that this process is not
-    /// ready.
+    /// Records that a readiness check was answered with "not ready".
     void note_unready_told(instant now);
 
-    /// Whether new callers are sent elsewhere by \a now.
+    /// Whether the load balancer sends new connections elsewhere by \a now.
     bool is_noticed(instant now) const;
 
-    /// Returns when the process was told to stop.
+    /// Returns the time at which the process was told to stop.
     instant began() const { return m_began; }
 
-    /// Returns the time by which each request must have ended.
+    /// Returns the time by which every request must have ended.
     instant end() const;
 
-    /// How long a request takes, as far as is known.
+    /// The expected duration of a request.
     struct request_time
     {
         duration usual{};
@@ -38,21 +37,21 @@
                                const request_time&) = default;
     };
 
-    /// Whether a request that comes at \a now is taken. \a is_outlasted tells
-    /// whether enough other entries go on for longer to take it.
+    /// Whether a request that arrives at \a now is accepted. \a is_outlasted
+    /// tells whether enough other entries run longer than this one to serve
+    /// the request.
     bool takes(instant now, const request_time& time, bool is_outlasted) const;
 
-    /// Whether the process may end; \a is_idle tells whether it has nothing
-    /// left to do.
+    /// Whether the process may exit; \a is_idle tells whether no work is left.
     bool may_end(instant now, bool is_idle) const;
 
 private:
-    instant noticed_at() const;
+    instant removed_from_rotation_at() const;
 
     instant m_began;
     duration m_grace;
-    int m_answers_left;
-    instant m_told_at{}; ///< The last of these answers.
+    int m_replies_left;
+    instant m_last_reply_at{}; ///< Time of the last required reply.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/in_progress_limit.hpp
+++ b/packages/decision/in_progress_limit.hpp
@@ -8,18 +8,22 @@
 namespace mangofold::decision
 {
 
-/// Bounds the requests in progress so that less urgent classes cannot fill
-/// the whole bound: a request in progress holds its place until it ends, and
-/// a burst of long ones would leave none for a voucher check.
+/// Limits the requests in progress. Only urgent requests may use the whole
+/// limit, since a request counts until it ends: otherwise a burst of long bulk
+/// requests would leave no room for short urgent ones.
 class in_progress_limit
 {
 public:
-    explicit in_progress_limit(std::size_t most) : m_most(most) {}
+    explicit in_progress_limit(std::size_t max_requests)
+        : m_max_requests(max_requests)
+    {
+    }
 
-    /// Takes a place for class \a priority. Returns whether there was one.
+    /// Counts a new request of class \a priority. Returns whether it is within
+    /// the limit.
     bool take(work_class priority);
 
-    /// Gives a place back.
+    /// Counts the end of a request of class \a priority.
     void give_back(work_class priority)
     {
         --m_counts.at(static_cast<std::size_t>(priority));
@@ -28,38 +32,39 @@
     std::size_t count() const;
 
 private:
-    std::size_t bound_of(work_class priority) const;
+    std::size_t max_for(work_class priority) const;
 
-    std::size_t m_most;
+    std::size_t m_max_requests;
     std::array<std::size_t, work_class_count> m_counts{};
 };
 
 inline std::size_t in_progress_limit::count() const
 {
     std::size_t sum = 0;
-    for (const std::size_t one : m_counts)
-        sum += one;
+    for (const std::size_t class_count : m_counts)
+        sum += class_count;
     return sum;
 }
 
-inline std::size_t in_progress_limit::bound_of(work_class priority) const
+inline std::size_t in_progress_limit::max_for(work_class priority) const
 {
     if (priority == work_class::bulk)
-        return m_most * 6 / 10;
-    return priority == work_class::standard ? m_most * 8 / 10 : m_most;
+        return m_max_requests * 6 / 10;
+    return priority == work_class::standard ? m_max_requests * 8 / 10
+                                            : m_max_requests;
 }
 
-// The bound of a class counts the classes that are less urgent too, so that
-// bulk and standard work together stay within the bound of standard work.
+// The limit of a class also covers the less urgent classes, so that bulk and
+// standard requests together stay within the limit of standard requests.
 inline bool in_progress_limit::take(work_class priority)
 {
-    std::size_t held = 0;
-    for (std::size_t index = static_cast<std::size_t>(priority);
-         index < m_counts.size(); ++index)
+    std::size_t at_or_below = 0;
+    for (std::size_t class_index = static_cast<std::size_t>(priority);
+         class_index < m_counts.size(); ++class_index)
     {
-        held += m_counts[index];
+        at_or_below += m_counts[class_index];
     }
-    if (held >= bound_of(priority) || count() >= m_most)
+    if (at_or_below >= max_for(priority) || count() >= m_max_requests)
         return false;
     ++m_counts.at(static_cast<std::size_t>(priority));
     return true;
--- a/packages/decision/latency_quantile.cpp
+++ b/packages/decision/latency_quantile.cpp
@@ -9,18 +9,19 @@
 namespace
 {
 
-constexpr double lowest_ns = 50e3;
-constexpr double growth = 1.3;
-constexpr std::uint32_t halve_at = 2048;
-constexpr std::uint32_t least_known = 20;
+constexpr double first_bucket_ns = 50e3;
+constexpr double bucket_growth = 1.3;
+constexpr std::uint32_t decay_threshold = 2048;
+constexpr std::uint32_t min_samples = 20;
 
 std::size_t bucket_of(duration value, std::size_t count)
 {
     const auto ns = static_cast<double>(value.count());
-    if (ns <= lowest_ns)
+    if (ns <= first_bucket_ns)
         return 0;
-    const double place = std::log(ns / lowest_ns) / std::log(growth);
-    return std::min(static_cast<std::size_t>(place) + 1, count - 1);
+    const double position =
+        std::log(ns / first_bucket_ns) / std::log(bucket_growth);
+    return std::min(static_cast<std::size_t>(position) + 1, count - 1);
 }
 
 } // namespace
@@ -28,7 +29,7 @@
 void latency_quantile::add(duration value)
 {
     ++m_counts.at(bucket_of(value, bucket_count));
-    if (++m_total < halve_at)
+    if (++m_total < decay_threshold)
         return;
     m_total = 0;
     for (std::uint32_t& count : m_counts)
@@ -38,30 +39,32 @@
     }
 }
 
-duration latency_quantile::value(double share) const
+duration latency_quantile::value(double rank) const
 {
-    if (m_total < least_known)
+    if (m_total < min_samples)
         return duration::zero();
-    const double wanted = share * m_total;
-    double below = 0;
+    const double target_count = rank * m_total;
+    double cumulative = 0;
     std::size_t bucket = 0;
-    while (bucket + 1 < bucket_count && below + m_counts.at(bucket) < wanted)
-        below += m_counts.at(bucket++);
+    while (bucket + 1 < bucket_count &&
+           cumulative + m_counts.at(bucket) < target_count)
+        cumulative += m_counts.at(bucket++);
     return duration(static_cast<duration::rep>(
-        lowest_ns * std::pow(growth, static_cast<double>(bucket))));
+        first_bucket_ns *
+        std::pow(bucket_growth, static_cast<double>(bucket))));
 }
 
-duration attempt_timeout(duration usual, duration left)
+duration attempt_timeout(duration p99, duration remaining)
 {
-    constexpr duration shortest = std::chrono::milliseconds(20);
-    constexpr int times_usual = 3;
-    if (usual == duration::zero())
-        return left;
-    const duration patient = std::max(usual * times_usual, shortest);
-    // Two more usual attempts no longer fit: rather wait for this one.
-    if (left < usual * 2)
-        return left;
-    return std::min(patient, left - usual);
+    constexpr duration min_timeout = std::chrono::milliseconds(20);
+    constexpr int p99_multiplier = 3;
+    if (p99 == duration::zero())
+        return remaining;
+    const duration preferred = std::max(p99 * p99_multiplier, min_timeout);
+    // Two attempts no longer fit, so the current attempt may use all the time.
+    if (remaining < p99 * 2)
+        return remaining;
+    return std::min(preferred, remaining - p99);
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/latency_quantile.hpp
+++ b/packages/decision/latency_quantile.hpp
@@ -9,17 +9,17 @@
 namespace mangofold::decision
 {
 
-/// Estimates quantiles of recent durations in a few hundred bytes: counts in
-/// buckets that grow by a constant factor, halved again and again so that
-/// old durations fade.
+/// Estimates quantiles of recent durations with a histogram of a few hundred
+/// bytes. The buckets grow by a constant factor; the counts are halved
+/// regularly so that old durations lose weight.
 class latency_quantile
 {
 public:
     void add(duration value);
 
-    /// Returns a duration that a share \a share of the recent ones stayed
-    /// below, or zero while too few are known.
-    duration value(double share) const;
+    /// Returns the \a rank quantile, such as 0.99, of the recent durations, or
+    /// zero while there are too few samples.
+    duration value(double rank) const;
 
 private:
     static constexpr std::size_t bucket_count = 64;
@@ -28,10 +28,10 @@
     std::uint32_t m_total = 0;
 };
 
-/// Returns how long one attempt may take: a few times what nearly all take,
-/// and where that still leaves time for another one, not so long that none
-/// is left. \a usual is the 99th percentile, \a left the rest of the
-/// deadline.
-duration attempt_timeout(duration usual, duration left);
+/// Returns the timeout of one attempt: a multiple of the 99th percentile
+/// \a p99, shortened so that the time \a remaining until the deadline still
+/// allows another attempt, or all of it where two attempts do not fit. A
+/// \a p99 of zero means that it is unknown.
+duration attempt_timeout(duration p99, duration remaining);
 
 } // namespace mangofold::decision
--- a/packages/decision/moving_mean.hpp
+++ b/packages/decision/moving_mean.hpp
@@ -7,22 +7,22 @@
 namespace mangofold::decision
 {
 
-/// The mean of the newest durations and how far they spread, older ones
-/// weighing less and less.
+/// Exponentially weighted moving average and mean deviation of durations.
 class moving_mean
 {
 public:
-    /// Starts with \a first; the newest value weighs \a weight.
-    explicit moving_mean(duration first, double weight = 0.05)
-        : m_weight(weight), m_mean_ns(static_cast<double>(first.count()))
+    /// Starts at \a initial. Each new duration has the weight \a weight.
+    explicit moving_mean(duration initial, double weight = 0.05)
+        : m_weight(weight), m_mean_ns(static_cast<double>(initial.count()))
     {
     }
 
     void add(duration value)
     {
-        const double off = static_cast<double>(value.count()) - m_mean_ns;
-        m_mean_ns += m_weight * off;
-        m_deviation_ns += m_weight * (std::abs(off) - m_deviation_ns);
+        const double difference =
+            static_cast<double>(value.count()) - m_mean_ns;
+        m_mean_ns += m_weight * difference;
+        m_deviation_ns += m_weight * (std::abs(difference) - m_deviation_ns);
     }
 
     duration mean() const
@@ -30,8 +30,8 @@
         return duration(static_cast<duration::rep>(m_mean_ns));
     }
 
-    /// Returns the mean and some mean deviations more; one holds for about
-    /// four durations in five.
+    /// Returns the mean plus \a deviations mean deviations. About four in five
+    /// durations are below the mean plus one deviation.
     duration above(double deviations) const
     {
         return duration(static_cast<duration::rep>(
--- a/packages/decision/owned_run.cpp
+++ b/packages/decision/owned_run.cpp
@@ -16,69 +16,73 @@
 
 const std::string& owned_run::owner() const
 {
-    return m_ticket_target ? *m_ticket_target : m_owners.at(m_owner);
+    return m_ticket_target ? *m_ticket_target : m_owners.at(m_owner_index);
 }
 
 attempt_step owned_run::next(instant now)
 {
-    if (m_final)
-        return finish_stage{*m_final};
+    if (m_final_result)
+        return finish_stage{*m_final_result};
     if (now >= m_deadline)
         return give_up(reason::deadline_passed);
-    if (m_is_out)
+    if (m_is_in_flight)
         return wait_until{m_deadline};
-    if (!m_ticket_target && m_owner >= m_owners.size())
+    if (!m_ticket_target && m_owner_index >= m_owners.size())
         return give_up(reason::no_target);
-    if (m_resyncs >= m_policy.max_resyncs && m_pinned == 0)
-        return give_up(m_last ? m_last->why : reason::no_target);
-    if (now < m_not_before)
-        return wait_until{std::min(m_not_before, m_deadline)};
+    if (m_resyncs >= m_policy.max_resyncs && m_pinned_incarnation == 0)
+        return give_up(m_last_result ? m_last_result->why : reason::no_target);
+    if (now < m_earliest_send)
+        return wait_until{std::min(m_earliest_send, m_deadline)};
     ++m_attempt;
-    return send_attempt{m_attempt, owner(),        {},
-                        m_pinned,  m_renounced_by, m_ticket_target.has_value()};
+    return send_attempt{m_attempt,
+                        owner(),
+                        {},
+                        m_pinned_incarnation,
+                        m_renounced_by,
+                        m_ticket_target.has_value()};
 }
 
 void owned_run::sent(std::uint64_t incarnation)
 {
-    m_is_out = true;
-    // From here on only the word of this very process can tell whether the
-    // request ran; a later process of the target knows nothing of it.
-    if (m_pinned == 0)
-        m_pinned = incarnation;
+    m_is_in_flight = true;
+    // From now on only this process can tell whether the request ran. A later
+    // process of the same target does not know the request.
+    if (m_pinned_incarnation == 0)
+        m_pinned_incarnation = incarnation;
 }
 
 void owned_run::not_sent(instant now)
 {
-    m_last = refused(reason::no_target, std::chrono::seconds(1));
-    retry_after(m_policy.resync_wait, now);
+    m_last_result = refused(reason::no_target, std::chrono::seconds(1));
+    schedule_retry(m_policy.resync_wait, now);
 }
 
 void owned_run::link_lost(std::uint32_t attempt, instant now)
 {
-    if (attempt != m_attempt || !m_is_out)
+    if (attempt != m_attempt || !m_is_in_flight)
         return;
-    m_is_out = false;
-    m_last = unknown_outcome(reason::link_lost);
-    retry_after(m_policy.resync_wait, now);
+    m_is_in_flight = false;
+    m_last_result = unknown_outcome(reason::link_lost);
+    schedule_retry(m_policy.resync_wait, now);
 }
 
 bool owned_run::ended(std::uint32_t attempt, const stage_result& result,
                       instant now)
 {
-    if (attempt != m_attempt || !m_is_out || m_final)
+    if (attempt != m_attempt || !m_is_in_flight || m_final_result)
         return false;
-    m_is_out = false;
-    m_last = result;
+    m_is_in_flight = false;
+    m_last_result = result;
     if (result.status != stage_status::refused)
     {
-        m_final = result;
+        m_final_result = result;
         return true;
     }
-    // The very process that got it says that nothing ran.
-    m_pinned = 0;
+    // The process that received the request reports that it did not run.
+    m_pinned_incarnation = 0;
     if (is_out_of_step(result.why))
     {
-        retry_after(m_policy.resync_wait, now);
+        schedule_retry(m_policy.resync_wait, now);
         return true;
     }
     if (result.why == reason::target_leaving)
@@ -86,25 +90,26 @@
         m_renounced_by.push_back(owner());
         if (m_ticket_target)
             m_ticket_target.reset();
-        std::erase_if(m_owners, [&](const std::string& one)
-                      { return one == m_renounced_by.back(); });
+        std::erase_if(m_owners, [&](const std::string& candidate)
+                      { return candidate == m_renounced_by.back(); });
         return true;
     }
-    m_final = result;
+    m_final_result = result;
     return true;
 }
 
-void owned_run::retry_after(duration wait, instant now)
+void owned_run::schedule_retry(duration delay, instant now)
 {
     ++m_resyncs;
-    m_not_before = now + wait;
+    m_earliest_send = now + delay;
 }
 
 attempt_step owned_run::give_up(reason why) const
 {
-    if (m_pinned != 0 || m_is_out)
+    if (m_pinned_incarnation != 0 || m_is_in_flight)
         return finish_stage{unknown_outcome(why)};
-    const duration after = m_last ? m_last->retry_after : duration::zero();
+    const duration after =
+        m_last_result ? m_last_result->retry_after : duration::zero();
     return finish_stage{refused(why, after)};
 }
 
--- a/packages/decision/owned_run.hpp
+++ b/packages/decision/owned_run.hpp
@@ -9,56 +9,60 @@
 namespace mangofold::decision
 {
 
-/// The attempts at one stage that runs at most once: only at the target that
-/// owns the request, or at the next owner after the one before it said that
-/// it did not run the request and never will.
+/// Sequences the attempts at a stage that must run at most once. An attempt
+/// goes only to the target that owns the request, or to the next owner after
+/// the previous owner has reported that it did not run the request and never
+/// will.
 class owned_run
 {
 public:
-    /// \a owners lists the targets in the order in which they own the
-    /// request; with a ticket, the ticket's target stands alone in
-    /// \a ticket_target.
+    /// \a owners lists the targets in order of ownership of the request. If
+    /// the request has a ticket, \a ticket_target is the target that issued
+    /// the ticket and goes before \a owners.
     owned_run(attempt_policy policy, instant deadline,
               std::vector<std::string> owners,
               std::optional<std::string> ticket_target = std::nullopt);
 
-    /// Returns what to do now.
+    /// Returns the next step.
     attempt_step next(instant now);
 
-    /// Notes that the attempt just asked for left on a stream to process
+    /// Records that the requested attempt was sent to the process
     /// \a incarnation of the owner.
     void sent(std::uint64_t incarnation);
 
-    /// Notes that the attempt just asked for could not leave.
+    /// Records that the requested attempt could not be sent.
     void not_sent(instant now);
 
-    /// Notes that the stream ended while \a attempt was under way.
+    /// Records that the link closed while \a attempt was in flight.
     void link_lost(std::uint32_t attempt, instant now);
 
-    /// Notes how \a attempt ended. Returns whether it was the newest one.
+    /// Records the result of \a attempt. Returns whether the result counts,
+    /// which only that of the newest attempt does.
     bool ended(std::uint32_t attempt, const stage_result& result, instant now);
 
-    bool may_have_run() const { return m_pinned != 0; }
+    /// Whether a process may have run the request.
+    bool may_have_run() const { return m_pinned_incarnation != 0; }
     std::uint32_t attempt() const { return m_attempt; }
 
 private:
     const std::string& owner() const;
     attempt_step give_up(reason why) const;
-    void retry_after(duration wait, instant now);
+    void schedule_retry(duration delay, instant now);
 
     attempt_policy m_policy;
     instant m_deadline;
     std::vector<std::string> m_owners;
     std::optional<std::string> m_ticket_target;
-    std::size_t m_owner = 0;
+    std::size_t m_owner_index = 0;
     std::vector<std::string> m_renounced_by;
-    std::uint64_t m_pinned = 0; ///< Process that may have run it, or 0.
+    /// Incarnation of the process that may have run the request, or 0.
+    std::uint64_t m_pinned_incarnation = 0;
     std::uint32_t m_attempt = 0;
     std::uint32_t m_resyncs = 0;
-    bool m_is_out = false;
-    instant m_not_before{};
-    std::optional<stage_result> m_last;
-    std::optional<stage_result> m_final;
+    bool m_is_in_flight = false;
+    instant m_earliest_send{};
+    std::optional<stage_result> m_last_result;
+    std::optional<stage_result> m_final_result;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/pool_router.hpp
+++ b/packages/decision/pool_router.hpp
@@ -13,7 +13,7 @@
 namespace mangofold::decision
 {
 
-/// Name and zone of a target, as published.
+/// ID and availability zone of a target, as published.
 struct target_place
 {
     std::string id;
@@ -22,18 +22,22 @@
     friend auto operator<=>(const target_place&, const target_place&) = default;
 };
 
-/// When a target is set aside, and for how long.
+/// Outlier ejection: when a failing target is taken out of rotation, and for
+/// how long.
 struct aside_policy
 {
-    std::uint32_t failures = 3; ///< In a row.
+    std::uint32_t failures = 3; ///< Consecutive failures that eject a target.
+    /// Duration of the first ejection; each further failure doubles it.
     duration first = std::chrono::milliseconds(250);
     duration longest = std::chrono::seconds(8);
-    double largest_share = 0.5; ///< Of the pool that may be aside at once.
+    /// Share of the pool that may be ejected; above it no ejection counts.
+    double largest_share = 0.5;
 
     friend bool operator==(const aside_policy&, const aside_policy&) = default;
 };
 
-/// Chooses among the targets of one pool, and learns from how attempts end.
+/// Chooses targets of one pool by their reported load and the results of the
+/// attempts of this entry.
 template<selection_policy Selection>
 class pool_router
 {
@@ -45,14 +49,15 @@
     {
     }
 
-    /// Sets the published targets; what is known of those that stay is kept.
+    /// Sets the published targets and keeps the state of those that remain.
     void set_targets(const std::vector<target_place>& targets);
 
-    /// Returns a target for new work, or nothing where none may take it.
+    /// Returns a target for new work, or nothing if no target is eligible. A
+    /// target in \a avoid is chosen only if there is no other.
     std::optional<std::string>
     pick(work_class work, const std::vector<std::string>& avoid, instant now);
 
-    /// Returns the shortest expected time of new work at any target.
+    /// Returns the shortest expected latency of new work at any target.
     duration expected(work_class work, instant now) const;
 
     void link_opened(const std::string& target, instant now);
--- a/packages/decision/pool_router.ipp
+++ b/packages/decision/pool_router.ipp
@@ -11,16 +11,16 @@
 void pool_router<Selection>::set_targets(
     const std::vector<target_place>& targets)
 {
-    std::map<std::string, target_view> kept;
+    std::map<std::string, target_view> updated;
     for (const target_place& place : targets)
     {
-        const auto known = m_targets.find(place.id);
-        if (known != m_targets.end())
-            kept[place.id] = known->second;
-        kept[place.id].id = place.id;
-        kept[place.id].zone = place.zone;
+        const auto existing = m_targets.find(place.id);
+        if (existing != m_targets.end())
+            updated[place.id] = existing->second;
+        updated[place.id].id = place.id;
+        updated[place.id].zone = place.zone;
     }
-    m_targets = std::move(kept);
+    m_targets = std::move(updated);
 }
 
 template<selection_policy Selection>
@@ -28,15 +28,15 @@
 pool_router<Selection>::pick(work_class work,
                              const std::vector<std::string>& avoid, instant now)
 {
-    candidates choice = usable(avoid, now);
-    // Rather a target that already failed this request than none.
-    if (choice.empty() && !avoid.empty())
-        choice = usable({}, now);
-    if (choice.empty())
+    candidates eligible = usable(avoid, now);
+    // A target that already failed this request is better than none.
+    if (eligible.empty() && !avoid.empty())
+        eligible = usable({}, now);
+    if (eligible.empty())
         return std::nullopt;
     const std::size_t index =
-        m_selection.select(choice, m_zone, work, m_random);
-    const std::string id = choice[index]->id;
+        m_selection.select(eligible, m_zone, work, m_random);
+    const std::string id = eligible[index]->id;
     target_view& view = m_targets.at(id);
     if (view.failures >= m_aside.failures)
         view.is_probing = true;
@@ -60,8 +60,8 @@
                               (now < view.aside_until || view.is_probing);
         (is_aside ? set_aside : good).push_back(&view);
     }
-    // With most of the pool aside, the rest would drown under the whole
-    // load and fail as well; then every linked target takes its share.
+    // If most of the pool were ejected, the other targets would be overloaded
+    // by the whole load and fail too, so all linked targets stay in rotation.
     const double share =
         static_cast<double>(aside_count(now)) /
         static_cast<double>(std::max<std::size_t>(m_targets.size(), 1));
--- a/packages/decision/random_source.hpp
+++ b/packages/decision/random_source.hpp
@@ -6,7 +6,8 @@
 namespace mangofold::decision
 {
 
-/// A small seeded generator (splitmix64), so that decisions repeat in tests.
+/// Seeded pseudorandom number generator (splitmix64), so that decisions are
+/// reproducible in tests.
 class random_source
 {
 public:
--- a/packages/decision/recent_longest.hpp
+++ b/packages/decision/recent_longest.hpp
@@ -7,18 +7,18 @@
 namespace mangofold::decision
 {
 
-/// The longest of the newest durations; an old one fades by a hundredth with
-/// each that follows it.
+/// Decaying maximum of durations: with each new duration the maximum decays by
+/// one hundredth.
 class recent_longest
 {
 public:
     void add(duration value)
     {
-        constexpr int fades_by = 100;
-        m_longest = std::max(value, m_longest - m_longest / fades_by);
+        constexpr int decay_divisor = 100;
+        m_longest = std::max(value, m_longest - m_longest / decay_divisor);
     }
 
-    /// Returns it, or zero before the first.
+    /// Returns the decaying maximum, or zero before the first duration.
     duration value() const { return m_longest; }
 
 private:
--- a/packages/decision/repeatable_run.cpp
+++ b/packages/decision/repeatable_run.cpp
@@ -15,30 +15,30 @@
 attempt_step repeatable_run::next(instant now, retry_budget& budget,
                                   duration attempt_timeout)
 {
-    if (m_answer)
-        return finish_stage{*m_answer};
+    if (m_final_result)
+        return finish_stage{*m_final_result};
     if (now >= m_deadline)
         return give_up(reason::deadline_passed);
-    if (m_is_out)
+    if (m_is_in_flight)
     {
         const instant attempt_end = m_sent_at + attempt_timeout;
         if (now < attempt_end)
             return wait_until{std::min(m_deadline, attempt_end)};
-        // Without a retry to spend, the silent attempt is the best hope.
-        if (m_ran + 1 >= m_policy.max_attempts || !budget.take())
+        // Without a retry left, keep waiting for the current attempt.
+        if (m_possible_runs + 1 >= m_policy.max_attempts || !budget.take())
             return wait_until{m_deadline};
-        // It may still end; its answer is then dropped.
+        // A late result of this attempt is dropped.
         ended(m_attempt, unknown_outcome(reason::target_timeout), now);
         m_needs_budget = false;
-        m_not_before = now;
+        m_earliest_send = now;
     }
-    if (m_ran >= m_policy.max_attempts)
-        return give_up(m_last->why);
-    if (m_busy >= m_policy.max_busy_refusals ||
+    if (m_possible_runs >= m_policy.max_attempts)
+        return give_up(m_last_result->why);
+    if (m_busy_refusals >= m_policy.max_busy_refusals ||
         m_resyncs >= m_policy.max_resyncs)
-        return give_up(m_last->why);
-    if (now < m_not_before)
-        return wait_until{std::min(m_not_before, m_deadline)};
+        return give_up(m_last_result->why);
+    if (now < m_earliest_send)
+        return wait_until{std::min(m_earliest_send, m_deadline)};
     return send(budget);
 }
 
@@ -50,55 +50,55 @@
         budget.first_sent();
     m_needs_budget = false;
     ++m_attempt;
-    return send_attempt{m_attempt, {}, m_avoid, 0, {}, false};
+    return send_attempt{m_attempt, {}, m_avoided_targets, 0, {}, false};
 }
 
 void repeatable_run::sent(const std::string& target, instant now)
 {
-    m_is_out = true;
+    m_is_in_flight = true;
     m_sent_at = now;
     m_target = target;
 }
 
 void repeatable_run::not_sent(instant now)
 {
-    m_last = refused(reason::no_target, std::chrono::seconds(1));
+    m_last_result = refused(reason::no_target, std::chrono::seconds(1));
     ++m_resyncs;
-    m_avoid.clear();
-    m_not_before = now + m_policy.resync_wait;
+    m_avoided_targets.clear();
+    m_earliest_send = now + m_policy.resync_wait;
 }
 
 bool repeatable_run::ended(std::uint32_t attempt, const stage_result& result,
                            instant now)
 {
-    if (attempt != m_attempt || !m_is_out || m_answer)
+    if (attempt != m_attempt || !m_is_in_flight || m_final_result)
         return false;
-    m_is_out = false;
-    m_last = result;
+    m_is_in_flight = false;
+    m_last_result = result;
     if (result.status == stage_status::done)
     {
-        m_answer = result;
+        m_final_result = result;
         return true;
     }
     if (is_out_of_step(result.why))
     {
         ++m_resyncs;
-        m_not_before = now + m_policy.resync_wait;
+        m_earliest_send = now + m_policy.resync_wait;
         return true;
     }
-    m_avoid.push_back(m_target);
+    m_avoided_targets.push_back(m_target);
     if (result.status == stage_status::refused)
     {
         const bool is_busy =
             result.why == reason::queue_full || result.why == reason::too_late;
-        m_busy += is_busy ? 1 : 0;
+        m_busy_refusals += is_busy ? 1 : 0;
         m_resyncs += is_busy ? 0 : 1;
         return true;
     }
     m_may_have_run = true;
     m_needs_budget = true;
-    ++m_ran;
-    m_not_before = now + m_backoff.next(m_random);
+    ++m_possible_runs;
+    m_earliest_send = now + m_backoff.next(m_random);
     return true;
 }
 
@@ -110,17 +110,22 @@
         stage_status::failed, reason::quarantined, {}, {}, back_after, false};
 }
 
-// A request that is given up gets its final answer now: holding it until its
-// deadline would only hide the failure from the caller.
+// A stage that is given up ends at once. Waiting until the deadline would only
+// hide the failure from the caller.
 attempt_step repeatable_run::give_up(reason why) const
 {
-    if (m_may_have_run || m_is_out)
+    if (m_may_have_run || m_is_in_flight)
     {
-        stage_result last = m_last.value_or(stage_result{});
-        return finish_stage{
-            {stage_status::failed, why, {}, {}, last.retry_after, false}};
+        stage_result last_result = m_last_result.value_or(stage_result{});
+        return finish_stage{{stage_status::failed,
+                             why,
+                             {},
+                             {},
+                             last_result.retry_after,
+                             false}};
     }
-    const duration after = m_last ? m_last->retry_after : duration::zero();
+    const duration after =
+        m_last_result ? m_last_result->retry_after : duration::zero();
     return finish_stage{refused(why, after)};
 }
 
--- a/packages/decision/repeatable_run.hpp
+++ b/packages/decision/repeatable_run.hpp
@@ -11,38 +11,39 @@
 namespace mangofold::decision
 {
 
-/// The attempts at one stage that may run more than once. Attempts are
-/// numbered; only the newest one counts.
+/// Sequences the attempts at a stage that may run more than once, with retries
+/// and backoff. Attempts are numbered; only the result of the newest counts.
 class repeatable_run
 {
 public:
     repeatable_run(attempt_policy policy, instant deadline, std::uint64_t seed);
 
-    /// Returns what to do now. An attempt that is silent for longer than
-    /// \a attempt_timeout is given up for another one.
+    /// Returns the next step. An attempt without a result after
+    /// \a attempt_timeout is abandoned for another one.
     attempt_step next(instant now, retry_budget& budget,
                       duration attempt_timeout);
 
-    /// Notes that the attempt just asked for went to \a target.
+    /// Records that the requested attempt was sent to \a target.
     void sent(const std::string& target, instant now);
 
-    /// Notes that no target could take the attempt just asked for.
+    /// Records that no target was available for the requested attempt.
     void not_sent(instant now);
 
-    /// Notes that the stream ended while \a attempt was under way.
+    /// Records that the link closed while \a attempt was in flight.
     void link_lost(std::uint32_t attempt, instant now)
     {
         ended(attempt, unknown_outcome(reason::link_lost), now);
     }
 
-    /// Notes how \a attempt ended. Returns whether it was the newest one.
+    /// Records the result of \a attempt. Returns whether the result counts,
+    /// which only that of the newest attempt does.
     bool ended(std::uint32_t attempt, const stage_result& result, instant now);
 
-    /// Returns how the stage ends where it must be sent nowhere until
-    /// \a back_after is over.
+    /// Returns the result of a stage whose content is quarantined for
+    /// \a back_after.
     stage_result kept_back(duration back_after) const;
 
-    /// Whether anything was sent that may have run.
+    /// Whether an attempt that ended may have run.
     bool may_have_run() const { return m_may_have_run; }
 
     std::uint32_t attempt() const { return m_attempt; }
@@ -56,18 +57,18 @@
     random_source m_random;
     backoff m_backoff;
     std::uint32_t m_attempt = 0;
-    std::uint32_t m_ran = 0;
-    std::uint32_t m_busy = 0;
+    std::uint32_t m_possible_runs = 0;
+    std::uint32_t m_busy_refusals = 0;
     std::uint32_t m_resyncs = 0;
-    bool m_is_out = false;
+    bool m_is_in_flight = false;
     bool m_may_have_run = false;
     bool m_needs_budget = false;
     instant m_sent_at{};
-    instant m_not_before{};
+    instant m_earliest_send{};
     std::string m_target;
-    std::vector<std::string> m_avoid;
-    std::optional<stage_result> m_last;
-    std::optional<stage_result> m_answer;
+    std::vector<std::string> m_avoided_targets;
+    std::optional<stage_result> m_last_result;
+    std::optional<stage_result> m_final_result;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/request_content.cpp
+++ b/packages/decision/request_content.cpp
@@ -5,15 +5,15 @@
 
 digest digest_of(const request_content& content)
 {
-    std::string text;
+    std::string encoded;
     for (const std::string_view part :
          {content.account, content.method, content.host, content.target})
     {
-        text += std::to_string(part.size());
-        text += ':';
-        text += part;
+        encoded += std::to_string(part.size());
+        encoded += ':';
+        encoded += part;
     }
-    return digest_of(text, content.body);
+    return digest_of(encoded, content.body);
 }
 
 digest stage_content(const request_key& key, const digest& request)
--- a/packages/decision/request_content.hpp
+++ b/packages/decision/request_content.hpp
@@ -8,22 +8,22 @@
 namespace mangofold::decision
 {
 
-/// What stays the same where a caller sends the same request again, under
-/// whatever id, to whatever entry.
+/// The parts of a request that are the same if a caller repeats the request
+/// under another request ID or through another entry.
 struct request_content
 {
-    std::string_view account; ///< The client account; empty where none is told.
+    std::string_view account; ///< The client account; empty if unknown.
     std::string_view method;
     std::string_view host;
     std::string_view target; ///< Path and query.
     std::string_view body;
 };
 
-/// Returns the digest by which entries tell such requests from others.
+/// Returns the digest by which entries recognize a repeated request.
 digest digest_of(const request_content& content);
 
-/// Returns the same for one stage of a request, of which \a request is the
-/// digest of what its caller sent.
+/// Returns the content digest of one stage of a request; \a request is the
+/// content digest of the request.
 digest stage_content(const request_key& key, const digest& request);
 
 } // namespace mangofold::decision
--- a/packages/decision/retry_budget.hpp
+++ b/packages/decision/retry_budget.hpp
@@ -5,23 +5,25 @@
 namespace mangofold::decision
 {
 
-/// Lets retries be a bounded share of the first attempts, so that a failing
-/// stage does not multiply its own load.
+/// Limits retries to a share of the first attempts, so that the retries of a
+/// failing stage do not multiply its load.
 class retry_budget
 {
 public:
+    /// Each first attempt adds \a share of a retry, up to \a reserve retries,
+    /// with which the budget starts.
     retry_budget(double share, double reserve)
         : m_share(share), m_reserve(reserve), m_tokens(reserve)
     {
     }
 
-    /// Notes a first attempt, which earns a share of a retry.
+    /// Records a first attempt.
     void first_sent() { m_tokens = std::min(m_tokens + m_share, m_reserve); }
 
-    /// Whether a retry can be taken.
+    /// Whether the budget allows a retry.
     bool has_one() const { return m_tokens >= 1; }
 
-    /// Takes one retry. Returns whether there was one.
+    /// Spends one retry. Returns whether the budget allowed it.
     bool take();
 
 private:
--- a/packages/decision/selection_policy.hpp
+++ b/packages/decision/selection_policy.hpp
@@ -11,8 +11,7 @@
 namespace mangofold::decision
 {
 
-/// Chooses one of several targets that may all take the work. Returns its
-/// index.
+/// Chooses one of several eligible targets and returns its index.
 template<typename Policy>
 concept selection_policy = requires(const Policy& policy,
                                     std::span<const target_view* const> targets,
@@ -24,7 +23,7 @@
         } -> std::convertible_to<std::size_t>;
 };
 
-/// Any target, with equal chances: the plain baseline.
+/// Chooses a target uniformly at random, as a baseline for comparisons.
 struct random_selection
 {
     std::size_t select(std::span<const target_view* const> targets,
@@ -35,14 +34,15 @@
     }
 };
 
-/// Two random targets of the own zone and two of the others; the one whose
-/// expected time, with the way to its zone, is shortest.
+/// Samples two random targets of the entry's own availability zone and two of
+/// other zones ("power of two choices"), and chooses the one with the shortest
+/// expected latency. Targets of other zones have a fixed cost added.
 class least_expected_of_few
 {
 public:
     explicit least_expected_of_few(
-        duration way_to_other_zone = std::chrono::milliseconds(3))
-        : m_way_to_other_zone(way_to_other_zone)
+        duration cross_zone_cost = std::chrono::milliseconds(3))
+        : m_cross_zone_cost(cross_zone_cost)
     {
     }
 
@@ -51,7 +51,7 @@
                        random_source& random) const;
 
 private:
-    duration m_way_to_other_zone;
+    duration m_cross_zone_cost;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/sending_record.hpp
+++ b/packages/decision/sending_record.hpp
@@ -5,55 +5,55 @@
 namespace mangofold::decision
 {
 
-/// What became of the sends of one request, and so what may still be done
-/// with it and what may be said of it.
+/// Counts the sends of one request by outcome, and decides from them whether
+/// the request may be sent again and whether it can be reported as not run.
 class sending_record
 {
 public:
-    /// \a max_targets bounds how many targets may run it.
+    /// At most \a max_targets targets may run a repeatable request.
     sending_record(bool is_repeatable, std::uint32_t max_targets)
         : m_is_repeatable(is_repeatable), m_max_targets(max_targets)
     {
     }
 
-    /// Whether it may be sent to another target now. One that may not be
-    /// repeated goes on only while each target so far said that it has not
-    /// run, and will not.
+    /// Whether the request may be sent to another target now. A request that
+    /// is not repeatable may only be sent again if every target so far has
+    /// reported that the request did not run and never will.
     bool may_send() const;
 
-    /// Whether "not run" is true.
-    bool has_surely_not_run() const { return m_may_have_run == 0; }
+    /// Whether the request has run at no target and never will.
+    bool has_surely_not_run() const { return m_possible_runs == 0; }
 
-    void note_sent() { ++m_may_have_run; }
+    void note_sent() { ++m_possible_runs; }
 
-    /// Notes that the newest send has not run and never will.
+    /// Records that the newest send did not run and never will.
     void note_not_run();
 
-    std::uint32_t sends() const { return m_may_have_run + m_not_run; }
+    std::uint32_t sends() const { return m_possible_runs + m_refusals; }
 
 private:
-    /// Refused sends a request makes at most: each one costs a target time
-    /// although it runs nothing.
-    static constexpr std::uint32_t max_refusals = 3;
+    /// The most refused sends per request. A refusal costs the target time
+    /// although nothing runs.
+    static constexpr std::uint32_t max_refused_sends = 3;
 
     bool m_is_repeatable;
     std::uint32_t m_max_targets;
-    std::uint32_t m_may_have_run = 0;
-    std::uint32_t m_not_run = 0;
+    std::uint32_t m_possible_runs = 0;
+    std::uint32_t m_refusals = 0;
 };
 
 inline bool sending_record::may_send() const
 {
-    if (m_not_run >= max_refusals)
+    if (m_refusals >= max_refused_sends)
         return false;
-    return m_may_have_run == 0 ||
-           (m_is_repeatable && m_may_have_run < m_max_targets);
+    return m_possible_runs == 0 ||
+           (m_is_repeatable && m_possible_runs < m_max_targets);
 }
 
 inline void sending_record::note_not_run()
 {
-    --m_may_have_run;
-    ++m_not_run;
+    --m_possible_runs;
+    ++m_refusals;
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/target_load.hpp
+++ b/packages/decision/target_load.hpp
@@ -9,15 +9,15 @@
 namespace mangofold::decision
 {
 
-/// What a sidecar reports of its target.
+/// The load of a target, as reported by its sidecar.
 struct target_load
 {
     std::uint32_t running = 0;
-    /// Waiting work of each class, most urgent first.
+    /// Queue length of each class, most urgent first.
     std::array<std::uint32_t, work_class_count> queued{};
-    std::uint32_t limit = 1;
-    duration service{}; ///< Moving average of a run.
-    /// From arrival to end of new work of each class.
+    std::uint32_t limit = 1; ///< Runs that the target may have at once.
+    duration service{};      ///< Moving average of the service time.
+    /// Expected latency of new work of each class, from arrival to end.
     std::array<duration, work_class_count> expected{};
 
     friend bool operator==(const target_load&, const target_load&) = default;
--- a/packages/decision/target_view.hpp
+++ b/packages/decision/target_view.hpp
@@ -13,61 +13,62 @@
 namespace mangofold::decision
 {
 
-/// What an entry believes of one target.
+/// The state of one target, as known to an entry.
 struct target_view
 {
     using counts = std::array<std::uint32_t, work_class_count>;
 
     std::string id;
     std::string zone;
-    bool is_linked = false; ///< A stream with a live grant is up.
+    bool is_linked = false; ///< A link with a valid grant is open.
     bool is_leaving = false;
-    target_load report;
-    counts in_flight{};           ///< Own attempts under way, by class.
-    counts in_flight_at_report{}; ///< The same when it reported.
-    std::uint32_t failures = 0;   ///< In a row.
-    instant aside_until{};        ///< Set aside before this.
-    bool is_probing = false;      ///< One attempt tries it again.
+    target_load report;           ///< The last load report.
+    counts in_flight{};           ///< Attempts of this entry, by class.
+    counts in_flight_at_report{}; ///< in_flight at the last report.
+    std::uint32_t failures = 0;   ///< Consecutive failures.
+    instant aside_until{};        ///< Out of rotation until then.
+    bool is_probing = false;      ///< A probe attempt is in flight.
     instant linked_at{};
 
-    /// Returns the attempts of class \a priority, or more urgent ones, that
-    /// this entry has under way beyond those that the last report counts.
+    /// Returns the change since the last report in the number of attempts that
+    /// this entry has in flight, of class \a priority or more urgent.
     double sent_since(work_class priority) const;
 
-    /// Returns the expected time until new work of class \a priority would
-    /// end there.
+    /// Returns the expected latency of new work of class \a priority at the
+    /// target, in nanoseconds.
     double expected_ns(work_class priority) const;
 };
 
 inline double target_view::sent_since(work_class priority) const
 {
-    double since = 0;
+    double unreported = 0;
     for (std::size_t index = 0; index <= static_cast<std::size_t>(priority);
          ++index)
     {
-        since += in_flight[index];
-        since -= in_flight_at_report[index];
+        unreported += in_flight[index];
+        unreported -= in_flight_at_report[index];
     }
-    return since;
+    return unreported;
 }
 
 inline double target_view::expected_ns(work_class priority) const
 {
-    constexpr double unknown_service_ns = 1e6;
-    const double service = report.service > duration::zero()
-                               ? static_cast<double>(report.service.count())
-                               : unknown_service_ns;
+    constexpr double default_service_ns = 1e6;
+    const double service_ns = report.service > duration::zero()
+                                  ? static_cast<double>(report.service.count())
+                                  : default_service_ns;
     const double limit = report.limit > 0 ? report.limit : 1;
-    const auto reported = static_cast<double>(
+    const auto reported_ns = static_cast<double>(
         report.expected.at(static_cast<std::size_t>(priority)).count());
-    const double since = sent_since(priority);
-    const double busy = report.running + since;
-    // Below its limit a target runs the work at once; the share of its slots
-    // in use still breaks ties towards the emptier one.
-    const double rounds = std::max(busy + 1 - limit, 0.0) / limit;
-    const double queued = std::min(std::max(since, 0.0) / limit, rounds);
-    return std::max(reported, service) +
-           service * (queued + 0.1 * std::max(busy, 0.0) / limit);
+    const double unreported = sent_since(priority);
+    const double busy = report.running + unreported;
+    // Below its limit, a target starts new work at once. The share of slots in
+    // use is still added, so that the less loaded of two such targets wins.
+    const double queue_rounds = std::max(busy + 1 - limit, 0.0) / limit;
+    const double unreported_rounds =
+        std::min(std::max(unreported, 0.0) / limit, queue_rounds);
+    return std::max(reported_ns, service_ns) +
+           service_ns * (unreported_rounds + 0.1 * std::max(busy, 0.0) / limit);
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/time.hpp
+++ b/packages/decision/time.hpp
@@ -5,8 +5,8 @@
 namespace mangofold::decision
 {
 
-/// The time base of every decision: it runs on while a process is
-/// suspended, and it says nothing about any other process.
+/// Clock type of all decisions. The clock continues while the process is
+/// suspended. Its times have no meaning in another process.
 struct boot_clock
 {
     using duration = std::chrono::nanoseconds;
--- a/packages/decision/turn_lateness.cpp
+++ b/packages/decision/turn_lateness.cpp
@@ -9,17 +9,18 @@
 {
     std::copy_backward(m_turns.begin(), m_turns.end() - 1, m_turns.end());
     m_turns.front() = now;
-    m_known = std::min(m_known + 1, turns);
+    m_recorded = std::min(m_recorded + 1, counted_turns);
 }
 
 duration turn_lateness::late(instant now) const
 {
     duration sum{};
-    instant later = now;
-    for (std::size_t one = 0; one < m_known; ++one)
+    instant next_turn = now;
+    for (std::size_t position = 0; position < m_recorded; ++position)
     {
-        sum += std::max(later - m_turns[one] - m_interval, duration::zero());
-        later = m_turns[one];
+        sum += std::max(next_turn - m_turns[position] - m_interval,
+                        duration::zero());
+        next_turn = m_turns[position];
     }
     return sum;
 }
--- a/packages/decision/turn_lateness.hpp
+++ b/packages/decision/turn_lateness.hpp
@@ -7,28 +7,29 @@
 namespace mangofold::decision
 {
 
-/// How far behind a loop is that does everything one after the other, from
-/// when its own timer got its turn.
+/// Measures the lag of a single-threaded event loop by a periodic timer that
+/// runs on the loop.
 class turn_lateness
 {
 public:
-    /// \a interval is what the timer is set to, each time anew.
+    /// \a interval is the time for which the timer is set after each turn.
     explicit turn_lateness(duration interval) : m_interval(interval) {}
 
-    /// Notes that the timer got its turn.
+    /// Records that the timer's handler ran.
     void note_turn(instant now);
 
-    /// Returns how long something that is found at \a now may have waited
-    /// unseen, beyond the moments that it takes in a loop that is in time.
+    /// Returns the lag at \a now: how much longer than in a loop without
+    /// backlog an event handled at \a now may have waited.
     duration late(instant now) const;
 
 private:
-    /// A new connection is found, taken and read in three turns.
-    static constexpr std::size_t turns = 4;
+    /// A new connection takes three turns until it is detected, accepted and
+    /// read.
+    static constexpr std::size_t counted_turns = 4;
 
     duration m_interval;
-    std::array<instant, turns> m_turns{}; ///< The newest first.
-    std::size_t m_known = 0;
+    std::array<instant, counted_turns> m_turns{}; ///< Newest first.
+    std::size_t m_recorded = 0;
 };
 
 } // namespace mangofold::decision
--- a/tests/decision/account_limiter_test.cpp
+++ b/tests/decision/account_limiter_test.cpp
@@ -8,38 +8,38 @@
 namespace
 {
 
-/// Returns how many of the requests that come every millisecond of one
-/// second may pass.
-int passed_in_a_second(account_limiter& limiter, const account_rate& rate,
-                       double entries)
+/// Returns the number of admitted requests of one second, with a request each
+/// millisecond.
+int admitted_in_one_second(account_limiter& limiter, const account_rate& rate,
+                           double entries)
 {
-    int passed = 0;
+    int admitted = 0;
     for (int ms = 0; ms < 1000; ++ms)
     {
         const instant now{std::chrono::milliseconds(ms)};
-        passed += limiter.take("desk", rate, entries, now) ? 0 : 1;
+        admitted += limiter.take("desk", rate, entries, now) ? 0 : 1;
     }
-    return passed;
+    return admitted;
 }
 
 } // namespace
 
 TEST_SUITE("account limiter")
 {
-    TEST_CASE("all entries together keep the rate of an account")
+    TEST_CASE("all entries together enforce the rate of an account")
     {
-        // Two entries with no shared counter get the same account's load
-        // from an even balancer. Together they must let its rate pass.
-        account_limiter one;
-        account_limiter other;
+        // Two entries without a shared counter each get half the requests of an
+        // account. Together they must admit the account's rate.
+        account_limiter first_entry;
+        account_limiter second_entry;
         const account_rate rate{100, 10};
-        const int passed = passed_in_a_second(one, rate, 2) +
-                           passed_in_a_second(other, rate, 2);
-        CHECK(passed >= 100);
-        CHECK(passed <= 112);
+        const int admitted = admitted_in_one_second(first_entry, rate, 2) +
+                             admitted_in_one_second(second_entry, rate, 2);
+        CHECK(admitted >= 100);
+        CHECK(admitted <= 112);
     }
 
-    TEST_CASE("who is refused learns when to come back")
+    TEST_CASE("a refusal tells when the next request is admitted")
     {
         account_limiter limiter;
         const account_rate rate{10, 1};
@@ -50,14 +50,14 @@
         CHECK_FALSE(limiter.take("desk", rate, 1, instant{} + *wait + 1ms));
     }
 
-    TEST_CASE("no rate sets no limit")
+    TEST_CASE("a rate of zero sets no limit")
     {
         account_limiter limiter;
-        CHECK(passed_in_a_second(limiter, {0, 0}, 1) == 1000);
+        CHECK(admitted_in_one_second(limiter, {0, 0}, 1) == 1000);
         CHECK(limiter.size() == 0);
     }
 
-    TEST_CASE("the entries are estimated from what one sidecar sees")
+    TEST_CASE("the number of entries is estimated from the links of a sidecar")
     {
         CHECK(estimated_entries(2, 39, 39) == doctest::Approx(2));
         CHECK(estimated_entries(64, 5600, 256) == doctest::Approx(1400));
--- a/tests/decision/admission_queue_test.cpp
+++ b/tests/decision/admission_queue_test.cpp
@@ -19,10 +19,10 @@
 
 TEST_SUITE("admission queue")
 {
-    TEST_CASE("long work leaves slots free for a seat hold")
+    TEST_CASE("bulk work leaves slots free for urgent work")
     {
-        // A burst of drafts fills the target. The seat hold that comes next
-        // must start at once, not after a draft.
+        // Guards against a burst of long bulk runs that takes every slot, so
+        // that urgent work has to wait for a bulk run to end.
         admission_queue queue({2, 0, 64});
         constexpr std::size_t slots = 4;
         for (std::uint64_t id = 1; id <= 10; ++id)
@@ -40,7 +40,7 @@
         CHECK(next->id == 99);
     }
 
-    TEST_CASE("accounts share a class by their weights")
+    TEST_CASE("slots of a class are shared by account weight")
     {
         admission_queue queue({0, 0, 64});
         for (std::uint64_t id = 1; id <= 20; ++id)
@@ -49,14 +49,14 @@
         for (std::uint64_t id = 21; id <= 28; ++id)
             queue.push(work(id, work_class::bulk, "desk", 4), instant{}, 1,
                        1ms);
-        std::size_t of_desk = 0;
+        std::size_t desk_count = 0;
         for (int taken = 0; taken < 10; ++taken)
-            of_desk += queue.pop(instant{}, 1)->account == "desk" ? 1 : 0;
-        CHECK(of_desk >= 7);
-        CHECK(of_desk <= 8);
+            desk_count += queue.pop(instant{}, 1)->account == "desk" ? 1 : 0;
+        CHECK(desk_count >= 7);
+        CHECK(desk_count <= 8);
     }
 
-    TEST_CASE("work that cannot end in time is refused at once")
+    TEST_CASE("work that cannot meet its deadline is refused at once")
     {
         admission_queue queue({0, 0, 64});
         queue.run_started(work_class::standard);
@@ -66,7 +66,7 @@
               reason::none);
     }
 
-    TEST_CASE("a full queue refuses")
+    TEST_CASE("work is refused if the queue of its class is full")
     {
         admission_queue queue({0, 0, 1});
         CHECK(queue.push(work(1, work_class::bulk), instant{}, 1, 0s) ==
@@ -89,7 +89,7 @@
 
 TEST_SUITE("in progress limit")
 {
-    TEST_CASE("a burst of long requests leaves room for a voucher check")
+    TEST_CASE("a burst of bulk requests leaves room for urgent requests")
     {
         in_progress_limit limit(10);
         int taken = 0;
--- a/tests/decision/drain_test.cpp
+++ b/tests/decision/drain_test.cpp
@@ -10,61 +10,63 @@
 
 constexpr instant start{1h};
 constexpr duration grace = 8s;
-constexpr int answers = 2;
-constexpr drain::request_time stream{2s, 3s};
-constexpr drain::request_time lookup{50ms, 200ms};
+constexpr int required_replies = 2;
+constexpr drain::request_time long_request{2s, 3s};
+constexpr drain::request_time short_request{50ms, 200ms};
 
-drain noticed_after(duration time)
+drain drain_noticed_after(duration time)
 {
-    drain one(start, grace, answers);
-    one.note_unready_told(start + time / 2);
-    one.note_unready_told(start + time);
-    return one;
+    drain draining(start, grace, required_replies);
+    draining.note_unready_told(start + time / 2);
+    draining.note_unready_told(start + time);
+    return draining;
 }
 
 } // namespace
 
-// Guards against refusing callers whom the balancer sends here once more.
-TEST_CASE("a stopping entry takes all requests until the balancer has noticed")
+// Guards against refusing a caller that the load balancer then sends to the
+// same entry again.
+TEST_CASE("a stopping entry accepts requests until the balancer has noticed")
 {
-    drain one(start, grace, answers);
-    CHECK(one.takes(start + 1s, stream, true));
-    one.note_unready_told(start + 1s);
-    CHECK(one.takes(start + 1500ms, stream, true));
-    one.note_unready_told(start + 1900ms);
-    CHECK(one.takes(start + 2s, stream, true));
-    CHECK_FALSE(one.takes(start + 2200ms, stream, true));
+    drain draining(start, grace, required_replies);
+    CHECK(draining.takes(start + 1s, long_request, true));
+    draining.note_unready_told(start + 1s);
+    CHECK(draining.takes(start + 1500ms, long_request, true));
+    draining.note_unready_told(start + 1900ms);
+    CHECK(draining.takes(start + 2s, long_request, true));
+    CHECK_FALSE(draining.takes(start + 2200ms, long_request, true));
 }
 
-// Guards against waiting for ever on a balancer that does not ask.
-TEST_CASE("a balancer that does not ask has noticed after its longest time")
+// Guards against waiting forever for a load balancer that sends no readiness
+// checks.
+TEST_CASE("a drain goes on without readiness checks after a time limit")
 {
-    const drain one(start, grace, answers);
-    CHECK(one.takes(start + 2400ms, stream, true));
-    CHECK_FALSE(one.takes(start + 2500ms, stream, true));
-    CHECK(one.may_end(start + 2500ms, true));
+    const drain draining(start, grace, required_replies);
+    CHECK(draining.takes(start + 2400ms, long_request, true));
+    CHECK_FALSE(draining.takes(start + 2500ms, long_request, true));
+    CHECK(draining.may_end(start + 2500ms, true));
 }
 
-// Guards against a fleet that is restarted as a whole and refuses everything
-// until its first entries are back.
-TEST_CASE("where no other entry runs, a stopping one takes what it can end")
+// Guards against refusing every request while all entries restart at once.
+TEST_CASE("without other entries, a stopping entry accepts what it can finish")
 {
-    const drain one = noticed_after(1s);
-    CHECK(one.takes(start + 4s, stream, false));
-    CHECK_FALSE(one.takes(start + 4s, stream, true));
-    CHECK_FALSE(one.takes(start + 5s, stream, false));
-    CHECK(one.takes(start + 7s, lookup, true));
-    CHECK_FALSE(one.takes(start + 7600ms, lookup, false));
-    CHECK(one.takes(start + 2400ms, stream, false));
-    CHECK_FALSE(one.takes(start + 2400ms, stream, true));
+    const drain draining = drain_noticed_after(1s);
+    CHECK(draining.takes(start + 4s, long_request, false));
+    CHECK_FALSE(draining.takes(start + 4s, long_request, true));
+    CHECK_FALSE(draining.takes(start + 5s, long_request, false));
+    CHECK(draining.takes(start + 7s, short_request, true));
+    CHECK_FALSE(draining.takes(start + 7600ms, short_request, false));
+    CHECK(draining.takes(start + 2400ms, long_request, false));
+    CHECK_FALSE(draining.takes(start + 2400ms, long_request, true));
 }
 
-// Guards against an instance that stays away longer than its work takes.
-TEST_CASE("a stopping entry ends once it is noticed and has nothing to do")
+// Guards against an instance that stays out of service longer than its work
+// takes.
+TEST_CASE("a stopping entry exits once the balancer has noticed and it is idle")
 {
-    const drain one = noticed_after(1s);
-    CHECK_FALSE(one.may_end(start + 1100ms, true));
-    CHECK(one.may_end(start + 1200ms, true));
-    CHECK_FALSE(one.may_end(start + 5s, false));
-    CHECK(one.may_end(start + 7700ms, false));
+    const drain draining = drain_noticed_after(1s);
+    CHECK_FALSE(draining.may_end(start + 1100ms, true));
+    CHECK(draining.may_end(start + 1200ms, true));
+    CHECK_FALSE(draining.may_end(start + 5s, false));
+    CHECK(draining.may_end(start + 7700ms, false));
 }
--- a/tests/decision/pool_router_test.cpp
+++ b/tests/decision/pool_router_test.cpp
@@ -15,95 +15,96 @@
 
 router make_router(const std::vector<target_place>& places)
 {
-    router made("z1", least_expected_of_few{}, aside_policy{}, 1);
-    made.set_targets(places);
-    for (const target_place& one : places)
+    router result("z1", least_expected_of_few{}, aside_policy{}, 1);
+    result.set_targets(places);
+    for (const target_place& place : places)
     {
-        made.link_opened(one.id, instant{});
-        made.load_reported(one.id, {0, {}, 4, 10ms, {}});
+        result.link_opened(place.id, instant{});
+        result.load_reported(place.id, {0, {}, 4, 10ms, {}});
     }
-    return made;
+    return result;
 }
 
-std::map<std::string, int> picks(router& from, int count, instant now)
+std::map<std::string, int> count_picks(router& pool, int count, instant now)
 {
-    std::map<std::string, int> taken;
-    for (int turn = 0; turn < count; ++turn)
-        ++taken[from.pick(work_class::urgent, {}, now).value_or("none")];
-    return taken;
+    std::map<std::string, int> counts;
+    for (int index = 0; index < count; ++index)
+        ++counts[pool.pick(work_class::urgent, {}, now).value_or("none")];
+    return counts;
 }
 
 } // namespace
 
 TEST_SUITE("pool router")
 {
-    TEST_CASE("stays in its zone while the zone has room, then spills over")
+    TEST_CASE("work stays in its zone until the zone is full, then spills over")
     {
-        router from = make_router({{"a", "z1"}, {"b", "z2"}});
-        CHECK(picks(from, 20, instant{})["a"] == 20);
+        router pool = make_router({{"a", "z1"}, {"b", "z2"}});
+        CHECK(count_picks(pool, 20, instant{})["a"] == 20);
         for (int sent = 0; sent < 12; ++sent)
-            from.attempt_sent("a", work_class::urgent);
-        CHECK(picks(from, 20, instant{})["b"] == 20);
+            pool.attempt_sent("a", work_class::urgent);
+        CHECK(count_picks(pool, 20, instant{})["b"] == 20);
     }
 
-    TEST_CASE("what was sent since the report counts")
+    TEST_CASE("attempts sent since the last load report are counted")
     {
-        // Reports lag. Ten requests come between two reports; without its
-        // own count the entry would send all of them to the same target.
-        router from = make_router({{"a", "z1"}, {"b", "z1"}});
+        // Guards against stale load reports: without its own count, an entry
+        // would send all ten requests between two reports to one target.
+        router pool = make_router({{"a", "z1"}, {"b", "z1"}});
         for (int sent = 0; sent < 10; ++sent)
-            from.attempt_sent(*from.pick(work_class::urgent, {}, instant{}),
+            pool.attempt_sent(*pool.pick(work_class::urgent, {}, instant{}),
                               work_class::urgent);
-        CHECK(from.targets().at("a").in_flight[0] >= 4);
-        CHECK(from.targets().at("b").in_flight[0] >= 4);
+        CHECK(pool.targets().at("a").in_flight[0] >= 4);
+        CHECK(pool.targets().at("b").in_flight[0] >= 4);
     }
 
-    TEST_CASE("a queue of drafts does not count for a seat hold")
+    TEST_CASE("queued bulk work does not delay urgent work")
     {
-        // A hundred drafts wait at the only target. They wait behind a seat
-        // hold, so the expected time of the seat hold stays short.
-        router from = make_router({{"a", "z1"}});
-        from.load_reported("a", {4, {0, 0, 100}, 4, 10ms, {12ms, 12ms, 400ms}});
-        CHECK(from.expected(work_class::urgent, instant{}) < 30ms);
-        CHECK(from.expected(work_class::bulk, instant{}) > 300ms);
+        // A hundred bulk runs are queued at the only target. Urgent work goes
+        // first, so its expected latency stays short.
+        router pool = make_router({{"a", "z1"}});
+        pool.load_reported("a", {4, {0, 0, 100}, 4, 10ms, {12ms, 12ms, 400ms}});
+        CHECK(pool.expected(work_class::urgent, instant{}) < 30ms);
+        CHECK(pool.expected(work_class::bulk, instant{}) > 300ms);
     }
 
-    TEST_CASE("a failing target is set aside and tried again later")
+    TEST_CASE("a failing target is ejected and probed later")
     {
-        router from = make_router({{"a", "z1"}, {"b", "z1"}, {"c", "z1"}});
-        for (int turn = 0; turn < 3; ++turn)
-            from.attempt_ended("a", work_class::urgent, failure, instant{});
-        CHECK(picks(from, 30, instant{})["a"] == 0);
-        // One attempt probes it; until that ended, no second one does.
-        CHECK(picks(from, 60, instant{1s})["a"] == 1);
-        from.attempt_ended("a", work_class::urgent,
+        router pool = make_router({{"a", "z1"}, {"b", "z1"}, {"c", "z1"}});
+        for (int index = 0; index < 3; ++index)
+            pool.attempt_ended("a", work_class::urgent, failure, instant{});
+        CHECK(count_picks(pool, 30, instant{})["a"] == 0);
+        // One attempt probes the target. No second attempt is sent there until
+        // the probe has ended.
+        CHECK(count_picks(pool, 60, instant{1s})["a"] == 1);
+        pool.attempt_ended("a", work_class::urgent,
                            {stage_status::done, {}, {}, {}, {}, false},
                            instant{1s});
-        CHECK(picks(from, 60, instant{1s})["a"] > 5);
+        CHECK(count_picks(pool, 60, instant{1s})["a"] > 5);
     }
 
-    TEST_CASE("never so many are set aside that the rest drown")
+    TEST_CASE("no target is ejected if most of the pool fails")
     {
-        // Two of three targets fail. The third would get three times its
-        // load and fail too; so all of them take their share.
-        router from = make_router({{"a", "z1"}, {"b", "z1"}, {"c", "z1"}});
-        for (int turn = 0; turn < 3; ++turn)
+        // Guards against ejecting two failing targets of three: the third would
+        // get three times its load and fail too.
+        router pool = make_router({{"a", "z1"}, {"b", "z1"}, {"c", "z1"}});
+        for (int index = 0; index < 3; ++index)
         {
-            from.attempt_ended("a", work_class::urgent, failure, instant{});
-            from.attempt_ended("b", work_class::urgent, failure, instant{});
+            pool.attempt_ended("a", work_class::urgent, failure, instant{});
+            pool.attempt_ended("b", work_class::urgent, failure, instant{});
         }
-        const auto taken = picks(from, 90, instant{});
-        CHECK(taken.at("a") > 10);
-        CHECK(taken.at("b") > 10);
-        CHECK(taken.at("c") > 10);
+        const auto counts = count_picks(pool, 90, instant{});
+        CHECK(counts.at("a") > 10);
+        CHECK(counts.at("b") > 10);
+        CHECK(counts.at("c") > 10);
     }
 
-    TEST_CASE("targets without a stream, or leaving, get nothing")
+    TEST_CASE("targets without a link and leaving targets get no work")
     {
-        router from = make_router({{"a", "z1"}, {"b", "z1"}});
-        from.link_closed("a");
-        CHECK(picks(from, 10, instant{})["b"] == 10);
-        from.target_left("b");
-        CHECK_FALSE(from.pick(work_class::urgent, {}, instant{}));
+        router pool = make_router({{"a", "z1"}, {"b", "z1"}});
+        pool.link_closed("a");
+        CHECK(count_picks(pool, 10, instant{})["b"] == 10);
+        pool.target_left("b");
+        CHECK_FALSE(pool.pick(work_class::urgent, {}, instant{}));
     }
 }
--- a/tests/decision/runs_test.cpp
+++ b/tests/decision/runs_test.cpp
@@ -11,14 +11,15 @@
 namespace
 {
 
-constexpr instant end{4s};
+constexpr instant deadline{4s};
 constexpr duration no_timeout = 1h;
 
-const stage_result good{stage_status::done, reason::none, "1", {}, {}, false};
-const stage_result bad{
+const stage_result success{
+    stage_status::done, reason::none, "1", {}, {}, false};
+const stage_result failure{
     stage_status::failed, reason::target_failed, {}, {}, {}, false};
 
-/// Sends the next attempt to \a target and returns its number.
+/// Sends the next attempt to \a target and returns the attempt number.
 std::uint32_t send_to(repeatable_run& run, retry_budget& budget,
                       const std::string& target, instant now,
                       duration timeout = no_timeout)
@@ -39,36 +40,36 @@
 
 TEST_SUITE("repeatable run")
 {
-    TEST_CASE("a late answer of an older attempt is dropped")
+    TEST_CASE("a late result of an older attempt is dropped")
     {
-        // The first attempt falls silent and is given up; the second goes to
-        // another target. Then the first one answers after all.
-        repeatable_run run({}, end, 1);
+        // The first attempt times out, the second is sent to another target,
+        // and then the result of the first arrives.
+        repeatable_run run({}, deadline, 1);
         retry_budget budget(0.1, 20);
         const auto first = send_to(run, budget, "a", instant{});
         const auto second = send_to(run, budget, "b", instant{1s}, 500ms);
         CHECK(second == first + 1);
-        CHECK_FALSE(run.ended(first, good, instant{1s}));
-        CHECK(run.ended(second, good, instant{1s}));
-        CHECK(result_of(run.next(instant{1s}, budget, no_timeout)) == good);
+        CHECK_FALSE(run.ended(first, success, instant{1s}));
+        CHECK(run.ended(second, success, instant{1s}));
+        CHECK(result_of(run.next(instant{1s}, budget, no_timeout)) == success);
     }
 
-    TEST_CASE("a failing stage is given up at once when the budget is spent")
+    TEST_CASE("a failing stage ends at once if the retry budget is spent")
     {
-        // Every target fails. Retries would multiply the load; the caller
-        // gets the final answer now, long before its deadline.
-        repeatable_run run({}, end, 1);
+        // Every target fails. Retries would multiply the load, so the caller
+        // gets the final result long before the deadline.
+        repeatable_run run({}, deadline, 1);
         retry_budget budget(0.1, 0.5);
         const auto first = send_to(run, budget, "a", instant{});
-        run.ended(first, bad, instant{});
+        run.ended(first, failure, instant{});
         const auto result = result_of(run.next(instant{1s}, budget, 1h));
         CHECK(result.status == stage_status::failed);
         CHECK(result.why == reason::retry_budget_spent);
     }
 
-    TEST_CASE("refusals alone end as refused, with the time to come back")
+    TEST_CASE("a stage with only refusals ends as refused, with a retry delay")
     {
-        repeatable_run run({}, end, 1);
+        repeatable_run run({}, deadline, 1);
         retry_budget budget(0.1, 20);
         for (const char* target : {"a", "b"})
         {
@@ -81,11 +82,11 @@
         CHECK_FALSE(run.may_have_run());
     }
 
-    TEST_CASE("a refusal after a failure is not called refused")
+    TEST_CASE("a stage with a failure and then refusals ends as failed")
     {
-        repeatable_run run({}, end, 1);
+        repeatable_run run({}, deadline, 1);
         retry_budget budget(0.1, 20);
-        run.ended(send_to(run, budget, "a", instant{}), bad, instant{});
+        run.ended(send_to(run, budget, "a", instant{}), failure, instant{});
         for (const char* target : {"b", "c"})
             run.ended(send_to(run, budget, target, instant{1s}),
                       refused(reason::queue_full), instant{1s});
@@ -96,11 +97,11 @@
 
 TEST_SUITE("owned run")
 {
-    TEST_CASE("a lost stream leads back to the same process only")
+    TEST_CASE("after a lost link, only the same process is tried again")
     {
-        // The stream breaks while the redemption is under way. Any other
-        // target, or a later process of this one, could run it again.
-        owned_run run({}, end, {"a", "b"});
+        // The link closes while the request is in flight. Another target, or a
+        // later process of the same target, could run the request again.
+        owned_run run({}, deadline, {"a", "b"});
         run.next(instant{});
         run.sent(11);
         run.link_lost(1, instant{});
@@ -110,18 +111,18 @@
         CHECK(std::get<send_attempt>(step).pinned_incarnation == 11);
     }
 
-    TEST_CASE("silence until the deadline is unknown, never not run")
+    TEST_CASE("no result before the deadline ends as unknown, never as refused")
     {
-        owned_run run({}, end, {"a", "b"});
+        owned_run run({}, deadline, {"a", "b"});
         run.next(instant{});
         run.sent(11);
-        const auto result = result_of(run.next(end));
+        const auto result = result_of(run.next(deadline));
         CHECK(result.status == stage_status::unknown);
     }
 
-    TEST_CASE("only the owner's own word leads to the next owner")
+    TEST_CASE("the next owner is tried only after the owner refuses for good")
     {
-        owned_run run({}, end, {"a", "b"});
+        owned_run run({}, deadline, {"a", "b"});
         run.next(instant{});
         run.sent(11);
         run.ended(1, refused(reason::target_leaving), instant{});
@@ -133,13 +134,13 @@
         CHECK(std::get<send_attempt>(step).pinned_incarnation == 0);
     }
 
-    TEST_CASE("nothing sent is refused, not unknown")
+    TEST_CASE("a stage without a sent attempt ends as refused, not as unknown")
     {
-        owned_run run({}, end, {"a"});
-        for (int turn = 0; turn < 12; ++turn)
+        owned_run run({}, deadline, {"a"});
+        for (int index = 0; index < 12; ++index)
         {
-            run.next(instant{std::chrono::milliseconds(20 * turn)});
-            run.not_sent(instant{std::chrono::milliseconds(20 * turn)});
+            run.next(instant{std::chrono::milliseconds(20 * index)});
+            run.not_sent(instant{std::chrono::milliseconds(20 * index)});
         }
         CHECK(result_of(run.next(instant{1s})).status == stage_status::refused);
     }
@@ -147,7 +148,7 @@
 
 TEST_SUITE("generation gate")
 {
-    TEST_CASE("an older manifest is never taken, from whatever source")
+    TEST_CASE("an older manifest is never adopted")
     {
         using verdict = generation_gate::verdict;
         generation_gate gate;
@@ -163,7 +164,7 @@
 
 TEST_SUITE("attempt timeout")
 {
-    TEST_CASE("leaves time for another attempt where two fit")
+    TEST_CASE("the timeout leaves time for a second attempt if two fit")
     {
         CHECK(attempt_timeout(0ms, 2s) == 2s);
         CHECK(attempt_timeout(100ms, 2s) == 300ms);
@@ -171,28 +172,28 @@
         CHECK(attempt_timeout(100ms, 150ms) == 150ms);
     }
 
-    TEST_CASE("a silent attempt is kept where no retry is left")
+    TEST_CASE("an attempt that times out is kept if no retry is left")
     {
-        // Every target is slow at once. Giving attempts up without the
-        // budget for others would only throw work away.
-        repeatable_run run({}, end, 1);
+        // Every target is slow. Abandoning an attempt without the budget for
+        // another would only waste the work done.
+        repeatable_run run({}, deadline, 1);
         retry_budget budget(0.1, 0.5);
         send_to(run, budget, "a", instant{});
         const auto step = run.next(instant{1s}, budget, 100ms);
         REQUIRE(std::holds_alternative<wait_until>(step));
-        CHECK(run.ended(1, good, instant{2s}));
+        CHECK(run.ended(1, success, instant{2s}));
     }
 
-    TEST_CASE("the quantile follows what is recent")
+    TEST_CASE("the quantile follows recent durations")
     {
-        latency_quantile known;
-        CHECK(known.value(0.99) == 0ms);
-        for (int turn = 0; turn < 100; ++turn)
-            known.add(10ms);
-        CHECK(known.value(0.99) >= 10ms);
-        CHECK(known.value(0.99) <= 13ms);
-        for (int turn = 0; turn < 20000; ++turn)
-            known.add(100ms);
-        CHECK(known.value(0.5) >= 100ms);
+        latency_quantile latencies;
+        CHECK(latencies.value(0.99) == 0ms);
+        for (int index = 0; index < 100; ++index)
+            latencies.add(10ms);
+        CHECK(latencies.value(0.99) >= 10ms);
+        CHECK(latencies.value(0.99) <= 13ms);
+        for (int index = 0; index < 20000; ++index)
+            latencies.add(100ms);
+        CHECK(latencies.value(0.5) >= 100ms);
     }
 }
--- a/tests/decision/sending_record_test.cpp
+++ b/tests/decision/sending_record_test.cpp
@@ -4,40 +4,39 @@
 
 using mangofold::decision::sending_record;
 
-// A voucher is redeemed twice.
-// 1. The request goes to a target, whose answer is lost. 2. It is sent to
-// another one. 3. Both ran it.
-TEST_CASE("what may not be repeated is sent once unless it surely did not run")
+// Guards against running a request twice: its result is lost, and the request
+// is sent to a second target although the first one ran it.
+TEST_CASE("a non-repeatable request is sent again only if it did not run")
 {
-    sending_record sends(false, 3);
-    sends.note_sent();
-    CHECK_FALSE(sends.may_send());
-    CHECK_FALSE(sends.has_surely_not_run());
-    sends.note_not_run();
-    CHECK(sends.may_send());
-    CHECK(sends.has_surely_not_run());
+    sending_record record(false, 3);
+    record.note_sent();
+    CHECK_FALSE(record.may_send());
+    CHECK_FALSE(record.has_surely_not_run());
+    record.note_not_run();
+    CHECK(record.may_send());
+    CHECK(record.has_surely_not_run());
 }
 
-TEST_CASE("what may be repeated runs at as many targets as its route allows")
+TEST_CASE("a repeatable request is sent to at most max_targets targets")
 {
-    sending_record sends(true, 2);
-    sends.note_sent();
-    CHECK(sends.may_send());
-    sends.note_sent();
-    CHECK_FALSE(sends.may_send());
-    sends.note_not_run();
-    CHECK(sends.may_send());
+    sending_record record(true, 2);
+    record.note_sent();
+    CHECK(record.may_send());
+    record.note_sent();
+    CHECK_FALSE(record.may_send());
+    record.note_not_run();
+    CHECK(record.may_send());
 }
 
-TEST_CASE("refusals are not asked for without end")
+TEST_CASE("the number of refused sends is limited")
 {
-    sending_record sends(true, 9);
-    for (int one = 0; one < 3; ++one)
+    sending_record record(true, 9);
+    for (int refusal = 0; refusal < 3; ++refusal)
     {
-        CHECK(sends.may_send());
-        sends.note_sent();
-        sends.note_not_run();
+        CHECK(record.may_send());
+        record.note_sent();
+        record.note_not_run();
     }
-    CHECK_FALSE(sends.may_send());
-    CHECK(sends.has_surely_not_run());
+    CHECK_FALSE(record.may_send());
+    CHECK(record.has_surely_not_run());
 }
--- a/tests/decision/turn_lateness_test.cpp
+++ b/tests/decision/turn_lateness_test.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a loop that turns in time is not late")
+TEST_CASE("a loop without backlog has no lag")
 {
     turn_lateness loop(100ms);
     CHECK(loop.late(at(5s)) == 0ms);
@@ -24,8 +24,9 @@
     CHECK(loop.late(at(6938ms)) <= 10ms);
 }
 
-// A process is stopped for two seconds, or does one thing for that long.
-TEST_CASE("a loop is late from the first thing that it does afterwards")
+// Covers a process that is suspended, or blocked by one handler, for two
+// seconds.
+TEST_CASE("the lag counts from the first event after a pause")
 {
     turn_lateness loop(100ms);
     loop.note_turn(at(1s));
@@ -34,9 +35,9 @@
     CHECK(loop.late(at(3s)) == 1900ms);
 }
 
-// Each turn takes half a second, since more is to be done than there is time.
-// A connection that is found, taken and read is three turns old.
-TEST_CASE("a loop that is always behind counts several turns")
+// Covers an overloaded loop where each turn takes half a second: a connection
+// that was detected, accepted and read is three turns old.
+TEST_CASE("the lag of an overloaded loop adds up over several turns")
 {
     turn_lateness loop(100ms);
     for (duration now{}; now <= 5s; now += 500ms)
@@ -44,7 +45,7 @@
     CHECK(loop.late(at(5s)) == 1200ms);
 }
 
-TEST_CASE("a loop that has caught up is not late any more")
+TEST_CASE("a loop that has caught up has no lag")
 {
     turn_lateness loop(100ms);
     loop.note_turn(at(1s));
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -15,8 +15,8 @@
 NARROW = ["--entries", "6", "--narrow", "3"]
 MUTANTS = [
     ("sent again after an unknown fate", "packages/decision/sending_record.hpp",
-     "(m_is_repeatable && m_may_have_run < m_max_targets)",
-     "m_may_have_run < 3",
+     "(m_is_repeatable && m_possible_runs < m_max_targets)",
+     "m_possible_runs < 3",
      ["target_mode", "target_link"]),
     ("not run is always said", "packages/serving/exchange_refusals.cpp",
      "if (!m_sends || m_sends->has_surely_not_run())", "if (true)",
