--- a/packages/decision/account_limiter.cpp
+++ b/packages/decision/account_limiter.cpp
@@ -5,9 +5,9 @@
 namespace mangofold::decision
 {
 
-std::optional<duration> account_limiter::take(const std::string& account,
-                                              const account_rate& rate,
-                                              double entries, instant now)
+std::optional<duration> account_limiter::throttle(const std::string& account,
+                                                  const account_rate& rate,
+                                                  double entries, instant now)
 {
     if (rate.per_s <= 0)
         return std::nullopt;
@@ -30,8 +30,8 @@
         std::chrono::duration<double>((1 - bucket.tokens) / share));
 }
 
-double estimated_entries(double mean_entries_seen, std::size_t sidecars,
-                         std::size_t links_per_entry)
+double estimated_entry_count(double mean_entries_seen, std::size_t sidecars,
+                             std::size_t links_per_entry)
 {
     if (links_per_entry == 0)
         return 1;
--- a/packages/decision/account_limiter.hpp
+++ b/packages/decision/account_limiter.hpp
@@ -27,9 +27,9 @@
 public:
     /// Counts one request of \a account. Returns nothing if the request is
     /// admitted, otherwise the time until the next request can be.
-    std::optional<duration> take(const std::string& account,
-                                 const account_rate& rate, double entries,
-                                 instant now);
+    std::optional<duration> throttle(const std::string& account,
+                                     const account_rate& rate, double entries,
+                                     instant now);
 
     std::size_t size() const { return m_buckets.size(); }
 
@@ -46,7 +46,7 @@
 /// Returns the estimated number of entries. Each entry connects to
 /// \a links_per_entry of the \a sidecars, and each sidecar counts the entries
 /// connected to it: \a mean_entries_seen on average.
-double estimated_entries(double mean_entries_seen, std::size_t sidecars,
-                         std::size_t links_per_entry);
+double estimated_entry_count(double mean_entries_seen, std::size_t sidecars,
+                             std::size_t links_per_entry);
 
 } // namespace mangofold::decision
--- a/packages/decision/admission_queue.cpp
+++ b/packages/decision/admission_queue.cpp
@@ -9,12 +9,12 @@
                              std::size_t limit, duration service)
 {
     class_queue& queue = queue_for(work.priority);
-    if (queue.items.size() >= m_shares.max_queued)
+    if (queue.items.size() >= m_class_limits.max_queued)
         return reason::queue_full;
     // Work that cannot meet its deadline would only take a slot from work that
     // can. A refusal now spares its caller the wait until the deadline.
     const duration wait = expected_wait(work.priority, limit, service);
-    if (now + wait + service > work.expires)
+    if (now + wait + service > work.deadline)
         return reason::too_late;
 
     double& finish_tag = queue.finish_tags[work.account];
@@ -38,7 +38,7 @@
             continue;
         const auto next = std::find_if(queue.items.begin(), queue.items.end(),
                                        [&](const queued_item& item)
-                                       { return item.work.expires > now; });
+                                       { return item.work.deadline > now; });
         if (next == queue.items.end())
             continue;
         const queued_work work = next->work;
@@ -60,7 +60,7 @@
         std::erase_if(queue.items,
                       [&](const queued_item& item)
                       {
-                          if (item.work.expires > now)
+                          if (item.work.deadline > now)
                               return false;
                           expired.push_back(item.work);
                           return true;
@@ -155,7 +155,7 @@
 std::size_t admission_queue::slots_for(work_class priority,
                                        std::size_t limit) const
 {
-    const std::size_t reserve = m_shares.reserve_for(priority);
+    const std::size_t reserve = m_class_limits.reserve_for(priority);
     return limit > reserve ? limit - reserve : 1;
 }
 
--- a/packages/decision/admission_queue.hpp
+++ b/packages/decision/admission_queue.hpp
@@ -21,13 +21,13 @@
     work_class priority = work_class::standard;
     std::string account;
     std::uint32_t weight = 1;
-    instant expires{};
+    instant deadline{};
 
     friend bool operator==(const queued_work&, const queued_work&) = default;
 };
 
 /// Limits on the slots and the queue space of a target for each class.
-struct class_shares
+struct class_limits
 {
     std::size_t bulk_reserve = 0;     ///< Slots closed to bulk work.
     std::size_t standard_reserve = 0; ///< Slots closed to bulk and
@@ -42,7 +42,7 @@
         return priority == work_class::standard ? standard_reserve : 0;
     }
 
-    friend bool operator==(const class_shares&, const class_shares&) = default;
+    friend bool operator==(const class_limits&, const class_limits&) = default;
 };
 
 /// Queues work until a slot of its target is free. Classes have strict
@@ -51,9 +51,9 @@
 class admission_queue
 {
 public:
-    explicit admission_queue(class_shares shares) : m_shares(shares) {}
+    explicit admission_queue(class_limits limits) : m_class_limits(limits) {}
 
-    void set_shares(class_shares shares) { m_shares = shares; }
+    void set_class_limits(class_limits limits) { m_class_limits = limits; }
 
     /// Queues \a work. Returns reason::none, or the reason for a refusal: the
     /// queue is full, or by the concurrency \a limit and the \a service time
@@ -124,7 +124,7 @@
     bool has_slot(work_class priority, std::size_t limit) const;
     static void record_dequeue(class_queue& queue, instant now);
 
-    class_shares m_shares;
+    class_limits m_class_limits;
     std::array<class_queue, work_class_count> m_queues;
 };
 
--- a/packages/decision/attempt_policy.hpp
+++ b/packages/decision/attempt_policy.hpp
@@ -13,9 +13,9 @@
     std::uint32_t max_attempts = 4;      ///< Attempts that may have run.
     std::uint32_t max_busy_refusals = 2; ///< Refusals for lack of capacity.
     std::uint32_t max_resyncs = 12;      ///< Other attempts that did not run.
-    duration resync_wait = std::chrono::milliseconds(10);
-    duration backoff_floor = std::chrono::milliseconds(5);
-    duration backoff_ceiling = std::chrono::milliseconds(100);
+    duration resync_delay = std::chrono::milliseconds(10);
+    duration min_backoff = std::chrono::milliseconds(5);
+    duration max_backoff = std::chrono::milliseconds(100);
 
     friend bool operator==(const attempt_policy&,
                            const attempt_policy&) = default;
--- a/packages/decision/attempt_step.hpp
+++ b/packages/decision/attempt_step.hpp
@@ -18,7 +18,8 @@
 {
     std::uint32_t attempt = 0;
     std::string target;
-    std::vector<std::string> avoid; ///< Targets that failed or refused.
+    /// Targets that failed or refused an earlier attempt.
+    std::vector<std::string> avoided_targets;
     /// The only process of the target that may run the attempt; 0 for any.
     std::uint64_t pinned_incarnation = 0;
     /// Earlier owners that refused the request for good.
@@ -49,7 +50,7 @@
 /// Whether \a why is a refusal because entry and target are out of sync (an
 /// expired grant, another generation of the manifest, a target that is not
 /// ready yet), so that the same target can be retried after a short delay.
-constexpr bool is_out_of_step(reason why)
+constexpr bool is_out_of_sync(reason why)
 {
     return why == reason::grant_lapsed || why == reason::generation_behind ||
            why == reason::generation_ahead || why == reason::not_ready;
--- a/packages/decision/concurrency_limit.cpp
+++ b/packages/decision/concurrency_limit.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void latency_limit::set_slots(std::size_t slots)
+void adaptive_limit::set_slots(std::size_t slots)
 {
     if (slots == m_slots)
         return;
@@ -23,8 +23,8 @@
     m_limit = static_cast<double>(slots);
 }
 
-void latency_limit::run_ended(duration latency, std::size_t running,
-                              bool has_succeeded)
+void adaptive_limit::run_ended(duration latency, std::size_t running,
+                               bool has_succeeded)
 {
     const auto measured = static_cast<double>(latency.count());
     if (m_average_ns == 0)
--- a/packages/decision/concurrency_limit.hpp
+++ b/packages/decision/concurrency_limit.hpp
@@ -40,10 +40,10 @@
 /// fails, or that ends while the average latency is far above its baseline,
 /// lowers the limit by a small factor. Successful runs raise it while it is
 /// fully used, by about one for as many runs as the limit.
-class latency_limit
+class adaptive_limit
 {
 public:
-    explicit latency_limit(std::size_t slots)
+    explicit adaptive_limit(std::size_t slots)
         : m_slots(slots), m_limit(static_cast<double>(slots))
     {
     }
--- a/packages/decision/recent_longest.hpp
+++ b/packages/decision/decaying_max.hpp
@@ -9,20 +9,20 @@
 
 /// Decaying maximum of durations: with each new duration the maximum decays by
 /// one hundredth.
-class recent_longest
+class decaying_max
 {
 public:
     void add(duration value)
     {
         constexpr int decay_divisor = 100;
-        m_longest = std::max(value, m_longest - m_longest / decay_divisor);
+        m_max = std::max(value, m_max - m_max / decay_divisor);
     }
 
     /// Returns the decaying maximum, or zero before the first duration.
-    duration value() const { return m_longest; }
+    duration value() const { return m_max; }
 
 private:
-    duration m_longest{};
+    duration m_max{};
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/drain.cpp
+++ b/packages/decision/drain.cpp
@@ -26,33 +26,33 @@
 
 } // namespace
 
-drain::drain(instant began, duration grace, int required_replies)
-    : m_began(began), m_grace(grace), m_replies_left(required_replies)
+drain::drain(instant started_at, duration grace, int required_replies)
+    : m_started_at(started_at), m_grace(grace), m_replies_left(required_replies)
 {
 }
 
-void drain::note_unready_told(instant now)
+void drain::note_unready_reply(instant now)
 {
     if (m_replies_left > 0 && --m_replies_left == 0)
         m_last_reply_at = now;
 }
 
-instant drain::removed_from_rotation_at() const
+instant drain::out_of_rotation_at() const
 {
-    const instant latest = m_began + max_removal_delay;
+    const instant latest = m_started_at + max_removal_delay;
     return m_replies_left > 0
                ? latest
                : std::min(latest, m_last_reply_at + in_transit_delay);
 }
 
-bool drain::is_noticed(instant now) const
+bool drain::is_out_of_rotation(instant now) const
 {
-    return now >= removed_from_rotation_at();
+    return now >= out_of_rotation_at();
 }
 
-instant drain::end() const
+instant drain::request_deadline() const
 {
-    return m_began + m_grace - exit_reserve;
+    return m_started_at + m_grace - exit_reserve;
 }
 
 // A caller that is refused before the load balancer has noticed would be sent
@@ -60,19 +60,21 @@
 // restart of this instance; other entries take the request if enough of them
 // run. If all entries stop, no other would: then a late request is accepted if
 // its longest expected duration ends before the process must.
-bool drain::takes(instant now, const request_time& time,
-                  bool is_outlasted) const
+bool drain::accepts(instant now, const request_duration& time,
+                    bool has_other_entries) const
 {
-    if (!is_noticed(now))
+    if (!is_out_of_rotation(now))
         return true;
-    if (is_outlasted)
-        return time.usual <= max_short_request && now + time.longest <= end();
-    return now < m_began + max_removal_delay || now + time.longest <= end();
+    if (has_other_entries)
+        return time.typical <= max_short_request &&
+               now + time.longest <= request_deadline();
+    return now < m_started_at + max_removal_delay ||
+           now + time.longest <= request_deadline();
 }
 
-bool drain::may_end(instant now, bool is_idle) const
+bool drain::may_exit(instant now, bool is_idle) const
 {
-    return now >= end() || (is_idle && is_noticed(now));
+    return now >= request_deadline() || (is_idle && is_out_of_rotation(now));
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/in_progress_limit.hpp
+++ b/packages/decision/in_progress_limit.hpp
@@ -21,10 +21,10 @@
 
     /// Counts a new request of class \a priority. Returns whether it is within
     /// the limit.
-    bool take(work_class priority);
+    bool try_acquire(work_class priority);
 
     /// Counts the end of a request of class \a priority.
-    void give_back(work_class priority)
+    void release(work_class priority)
     {
         --m_counts.at(static_cast<std::size_t>(priority));
     }
@@ -56,7 +56,7 @@
 
 // The limit of a class also covers the less urgent classes, so that bulk and
 // standard requests together stay within the limit of standard requests.
-inline bool in_progress_limit::take(work_class priority)
+inline bool in_progress_limit::try_acquire(work_class priority)
 {
     std::size_t at_or_below = 0;
     for (std::size_t class_index = static_cast<std::size_t>(priority);
--- a/packages/decision/latency_quantile.cpp
+++ b/packages/decision/latency_quantile.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-duration latency_quantile::value(double rank) const
+duration latency_quantile::quantile(double rank) const
 {
     if (m_total < min_samples)
         return duration::zero();
--- a/packages/decision/latency_quantile.hpp
+++ b/packages/decision/latency_quantile.hpp
@@ -19,7 +19,7 @@
 
     /// Returns the \a rank quantile, such as 0.99, of the recent durations, or
     /// zero while there are too few samples.
-    duration value(double rank) const;
+    duration quantile(double rank) const;
 
 private:
     static constexpr std::size_t bucket_count = 64;
--- a/packages/decision/turn_lateness.cpp
+++ b/packages/decision/loop_lag.cpp
@@ -1,18 +1,18 @@
-#include "decision/turn_lateness.hpp"
+#include "decision/loop_lag.hpp"
 
 #include <algorithm>
 
 namespace mangofold::decision
 {
 
-void turn_lateness::note_turn(instant now)
+void loop_lag::note_timer_run(instant now)
 {
     std::copy_backward(m_turns.begin(), m_turns.end() - 1, m_turns.end());
     m_turns.front() = now;
     m_recorded = std::min(m_recorded + 1, counted_turns);
 }
 
-duration turn_lateness::late(instant now) const
+duration loop_lag::lag(instant now) const
 {
     duration sum{};
     instant next_turn = now;
--- a/packages/decision/turn_lateness.hpp
+++ b/packages/decision/loop_lag.hpp
@@ -9,18 +9,18 @@
 
 /// Measures the lag of a single-threaded event loop by a periodic timer that
 /// runs on the loop.
-class turn_lateness
+class loop_lag
 {
 public:
     /// \a interval is the time for which the timer is set after each turn.
-    explicit turn_lateness(duration interval) : m_interval(interval) {}
+    explicit loop_lag(duration interval) : m_interval(interval) {}
 
-    /// Records that the timer's handler ran.
-    void note_turn(instant now);
+    /// Records that the handler of the timer ran at \a now.
+    void note_timer_run(instant now);
 
     /// Returns the lag at \a now: how much longer than in a loop without
     /// backlog an event handled at \a now may have waited.
-    duration late(instant now) const;
+    duration lag(instant now) const;
 
 private:
     /// A new connection takes three turns until it is detected, accepted and
--- a/packages/decision/moving_mean.hpp
+++ b/packages/decision/moving_mean.hpp
@@ -32,7 +32,7 @@
 
     /// Returns the mean plus \a deviations mean deviations. About four in five
     /// durations are below the mean plus one deviation.
-    duration above(double deviations) const
+    duration mean_plus(double deviations) const
     {
         return duration(static_cast<duration::rep>(
             m_mean_ns + deviations * m_deviation_ns));
--- a/packages/decision/owned_run.cpp
+++ b/packages/decision/owned_run.cpp
@@ -19,7 +19,7 @@
     return m_ticket_target ? *m_ticket_target : m_owners.at(m_owner_index);
 }
 
-attempt_step owned_run::next(instant now)
+attempt_step owned_run::next_step(instant now)
 {
     if (m_final_result)
         return finish_stage{*m_final_result};
@@ -54,7 +54,7 @@
 void owned_run::not_sent(instant now)
 {
     m_last_result = refused(reason::no_target, std::chrono::seconds(1));
-    schedule_retry(m_policy.resync_wait, now);
+    schedule_retry(m_policy.resync_delay, now);
 }
 
 void owned_run::link_lost(std::uint32_t attempt, instant now)
@@ -63,7 +63,7 @@
         return;
     m_is_in_flight = false;
     m_last_result = unknown_outcome(reason::link_lost);
-    schedule_retry(m_policy.resync_wait, now);
+    schedule_retry(m_policy.resync_delay, now);
 }
 
 bool owned_run::ended(std::uint32_t attempt, const stage_result& result,
@@ -80,9 +80,9 @@
     }
     // The process that received the request reports that it did not run.
     m_pinned_incarnation = 0;
-    if (is_out_of_step(result.why))
+    if (is_out_of_sync(result.why))
     {
-        schedule_retry(m_policy.resync_wait, now);
+        schedule_retry(m_policy.resync_delay, now);
         return true;
     }
     if (result.why == reason::target_leaving)
--- a/packages/decision/owned_run.hpp
+++ b/packages/decision/owned_run.hpp
@@ -24,7 +24,7 @@
               std::optional<std::string> ticket_target = std::nullopt);
 
     /// Returns the next step.
-    attempt_step next(instant now);
+    attempt_step next_step(instant now);
 
     /// Records that the requested attempt was sent to the process
     /// \a incarnation of the owner.
--- a/packages/decision/pool_router.hpp
+++ b/packages/decision/pool_router.hpp
@@ -14,26 +14,29 @@
 {
 
 /// ID and availability zone of a target, as published.
-struct target_place
+struct target_location
 {
     std::string id;
     std::string zone;
 
-    friend auto operator<=>(const target_place&, const target_place&) = default;
+    friend auto operator<=>(const target_location&,
+                            const target_location&) = default;
 };
 
 /// Outlier ejection: when a failing target is taken out of rotation, and for
 /// how long.
-struct aside_policy
+struct ejection_policy
 {
-    std::uint32_t failures = 3; ///< Consecutive failures that eject a target.
+    /// Failures in a row that eject a target.
+    std::uint32_t consecutive_failures = 3;
     /// Duration of the first ejection; each further failure doubles it.
-    duration first = std::chrono::milliseconds(250);
-    duration longest = std::chrono::seconds(8);
+    duration base_duration = std::chrono::milliseconds(250);
+    duration max_duration = std::chrono::seconds(8);
     /// Share of the pool that may be ejected; above it no ejection counts.
-    double largest_share = 0.5;
+    double max_ejected_share = 0.5;
 
-    friend bool operator==(const aside_policy&, const aside_policy&) = default;
+    friend bool operator==(const ejection_policy&,
+                           const ejection_policy&) = default;
 };
 
 /// Chooses targets of one pool by their reported load and the results of the
@@ -42,23 +45,23 @@
 class pool_router
 {
 public:
-    pool_router(std::string zone, Selection selection, aside_policy aside,
+    pool_router(std::string zone, Selection selection, ejection_policy ejection,
                 std::uint64_t seed)
         : m_zone(std::move(zone)), m_selection(std::move(selection)),
-          m_aside(aside), m_random(seed)
+          m_ejection(ejection), m_random(seed)
     {
     }
 
     /// Sets the published targets and keeps the state of those that remain.
-    void set_targets(const std::vector<target_place>& targets);
+    void set_targets(const std::vector<target_location>& targets);
 
     /// Returns a target for new work, or nothing if no target is eligible. A
-    /// target in \a avoid is chosen only if there is no other.
+    /// target in \a avoided is chosen only if there is no other.
     std::optional<std::string>
-    pick(work_class work, const std::vector<std::string>& avoid, instant now);
+    pick(work_class work, const std::vector<std::string>& avoided, instant now);
 
     /// Returns the shortest expected latency of new work at any target.
-    duration expected(work_class work, instant now) const;
+    duration expected_latency(work_class work, instant now) const;
 
     void link_opened(const std::string& target, instant now);
     void link_closed(const std::string& target);
@@ -76,8 +79,9 @@
 private:
     using candidates = std::vector<const target_view*>;
 
-    candidates usable(const std::vector<std::string>& avoid, instant now) const;
-    std::size_t aside_count(instant now) const;
+    candidates eligible_targets(const std::vector<std::string>& avoided,
+                                instant now) const;
+    std::size_t ejected_count(instant now) const;
     void note_failure(target_view& view, instant now);
 
     template<typename Change>
@@ -90,7 +94,7 @@
 
     std::string m_zone;
     Selection m_selection;
-    aside_policy m_aside;
+    ejection_policy m_ejection;
     random_source m_random;
     std::map<std::string, target_view> m_targets;
 };
--- a/packages/decision/pool_router.ipp
+++ b/packages/decision/pool_router.ipp
@@ -9,89 +9,92 @@
 
 template<selection_policy Selection>
 void pool_router<Selection>::set_targets(
-    const std::vector<target_place>& targets)
+    const std::vector<target_location>& targets)
 {
     std::map<std::string, target_view> updated;
-    for (const target_place& place : targets)
+    for (const target_location& location : targets)
     {
-        const auto existing = m_targets.find(place.id);
+        const auto existing = m_targets.find(location.id);
         if (existing != m_targets.end())
-            updated[place.id] = existing->second;
-        updated[place.id].id = place.id;
-        updated[place.id].zone = place.zone;
+            updated[location.id] = existing->second;
+        updated[location.id].id = location.id;
+        updated[location.id].zone = location.zone;
     }
     m_targets = std::move(updated);
 }
 
 template<selection_policy Selection>
-std::optional<std::string>
-pool_router<Selection>::pick(work_class work,
-                             const std::vector<std::string>& avoid, instant now)
+std::optional<std::string> pool_router<Selection>::pick(
+    work_class work, const std::vector<std::string>& avoided, instant now)
 {
-    candidates eligible = usable(avoid, now);
+    candidates eligible = eligible_targets(avoided, now);
     // A target that already failed this request is better than none.
-    if (eligible.empty() && !avoid.empty())
-        eligible = usable({}, now);
+    if (eligible.empty() && !avoided.empty())
+        eligible = eligible_targets({}, now);
     if (eligible.empty())
         return std::nullopt;
     const std::size_t index =
         m_selection.select(eligible, m_zone, work, m_random);
     const std::string id = eligible[index]->id;
     target_view& view = m_targets.at(id);
-    if (view.failures >= m_aside.failures)
+    if (view.consecutive_failures >= m_ejection.consecutive_failures)
         view.is_probing = true;
     return id;
 }
 
 template<selection_policy Selection>
 typename pool_router<Selection>::candidates
-pool_router<Selection>::usable(const std::vector<std::string>& avoid,
-                               instant now) const
+pool_router<Selection>::eligible_targets(
+    const std::vector<std::string>& avoided, instant now) const
 {
-    candidates good;
-    candidates set_aside;
+    candidates eligible;
+    candidates ejected;
     for (const auto& [id, view] : m_targets)
     {
         if (!view.is_linked || view.is_leaving)
             continue;
-        if (std::find(avoid.begin(), avoid.end(), id) != avoid.end())
+        if (std::find(avoided.begin(), avoided.end(), id) != avoided.end())
             continue;
-        const bool is_aside = view.failures >= m_aside.failures &&
-                              (now < view.aside_until || view.is_probing);
-        (is_aside ? set_aside : good).push_back(&view);
+        const bool is_ejected =
+            view.consecutive_failures >= m_ejection.consecutive_failures &&
+            (now < view.ejected_until || view.is_probing);
+        (is_ejected ? ejected : eligible).push_back(&view);
     }
     // If most of the pool were ejected, the other targets would be overloaded
     // by the whole load and fail too, so all linked targets stay in rotation.
     const double share =
-        static_cast<double>(aside_count(now)) /
+        static_cast<double>(ejected_count(now)) /
         static_cast<double>(std::max<std::size_t>(m_targets.size(), 1));
-    if (good.empty() || share > m_aside.largest_share)
-        good.insert(good.end(), set_aside.begin(), set_aside.end());
-    return good;
+    if (eligible.empty() || share > m_ejection.max_ejected_share)
+        eligible.insert(eligible.end(), ejected.begin(), ejected.end());
+    return eligible;
 }
 
 template<selection_policy Selection>
-duration pool_router<Selection>::expected(work_class work, instant now) const
+duration pool_router<Selection>::expected_latency(work_class work,
+                                                  instant now) const
 {
     double shortest = 0;
-    for (const target_view* one : usable({}, now))
+    for (const target_view* candidate : eligible_targets({}, now))
     {
-        const double ns = one->expected_ns(work);
+        const double ns = candidate->expected_latency_ns(work);
         shortest = shortest == 0 ? ns : std::min(shortest, ns);
     }
     return duration(static_cast<duration::rep>(shortest));
 }
 
 template<selection_policy Selection>
-std::size_t pool_router<Selection>::aside_count(instant now) const
+std::size_t pool_router<Selection>::ejected_count(instant now) const
 {
-    return static_cast<std::size_t>(std::count_if(
-        m_targets.begin(), m_targets.end(),
-        [&](const auto& one)
-        {
-            const target_view& view = one.second;
-            return view.failures >= m_aside.failures && now < view.aside_until;
-        }));
+    return static_cast<std::size_t>(
+        std::count_if(m_targets.begin(), m_targets.end(),
+                      [&](const auto& item)
+                      {
+                          const target_view& view = item.second;
+                          return view.consecutive_failures >=
+                                     m_ejection.consecutive_failures &&
+                                 now < view.ejected_until;
+                      }));
 }
 
 template<selection_policy Selection>
@@ -125,7 +128,7 @@
     change(target,
            [&](target_view& view)
            {
-               view.report = load;
+               view.load_report = load;
                view.in_flight_at_report = view.in_flight;
            });
 }
@@ -159,22 +162,22 @@
                if (has_failed)
                    note_failure(view, now);
                else if (result.status == stage_status::done)
-                   view.failures = 0;
+                   view.consecutive_failures = 0;
            });
 }
 
 template<selection_policy Selection>
 void pool_router<Selection>::note_failure(target_view& view, instant now)
 {
-    ++view.failures;
-    if (view.failures < m_aside.failures)
+    ++view.consecutive_failures;
+    if (view.consecutive_failures < m_ejection.consecutive_failures)
         return;
-    const std::uint32_t steps =
-        std::min<std::uint32_t>(view.failures - m_aside.failures, 5);
-    const duration wait =
-        std::min<duration>(m_aside.first * (1U << steps), m_aside.longest);
+    const std::uint32_t steps = std::min<std::uint32_t>(
+        view.consecutive_failures - m_ejection.consecutive_failures, 5);
+    const duration wait = std::min<duration>(
+        m_ejection.base_duration * (1U << steps), m_ejection.max_duration);
     const auto jitter = static_cast<std::uint64_t>(wait.count()) / 4 + 1;
-    view.aside_until = now + wait + duration(m_random.below(jitter));
+    view.ejected_until = now + wait + duration(m_random.below(jitter));
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/repeatable_run.cpp
+++ b/packages/decision/repeatable_run.cpp
@@ -8,12 +8,12 @@
 repeatable_run::repeatable_run(attempt_policy policy, instant deadline,
                                std::uint64_t seed)
     : m_policy(policy), m_deadline(deadline), m_random(seed),
-      m_backoff(policy.backoff_floor, policy.backoff_ceiling)
+      m_backoff(policy.min_backoff, policy.max_backoff)
 {
 }
 
-attempt_step repeatable_run::next(instant now, retry_budget& budget,
-                                  duration attempt_timeout)
+attempt_step repeatable_run::next_step(instant now, retry_budget& budget,
+                                       duration attempt_timeout)
 {
     if (m_final_result)
         return finish_stage{*m_final_result};
@@ -25,7 +25,7 @@
         if (now < attempt_end)
             return wait_until{std::min(m_deadline, attempt_end)};
         // Without a retry left, keep waiting for the current attempt.
-        if (m_possible_runs + 1 >= m_policy.max_attempts || !budget.take())
+        if (m_possible_runs + 1 >= m_policy.max_attempts || !budget.try_spend())
             return wait_until{m_deadline};
         // A late result of this attempt is dropped.
         ended(m_attempt, unknown_outcome(reason::target_timeout), now);
@@ -44,10 +44,10 @@
 
 attempt_step repeatable_run::send(retry_budget& budget)
 {
-    if (m_needs_budget && !budget.take())
+    if (m_needs_budget && !budget.try_spend())
         return give_up(reason::retry_budget_spent);
     if (m_attempt == 0)
-        budget.first_sent();
+        budget.note_first_attempt();
     m_needs_budget = false;
     ++m_attempt;
     return send_attempt{m_attempt, {}, m_avoided_targets, 0, {}, false};
@@ -65,7 +65,7 @@
     m_last_result = refused(reason::no_target, std::chrono::seconds(1));
     ++m_resyncs;
     m_avoided_targets.clear();
-    m_earliest_send = now + m_policy.resync_wait;
+    m_earliest_send = now + m_policy.resync_delay;
 }
 
 bool repeatable_run::ended(std::uint32_t attempt, const stage_result& result,
@@ -80,10 +80,10 @@
         m_final_result = result;
         return true;
     }
-    if (is_out_of_step(result.why))
+    if (is_out_of_sync(result.why))
     {
         ++m_resyncs;
-        m_earliest_send = now + m_policy.resync_wait;
+        m_earliest_send = now + m_policy.resync_delay;
         return true;
     }
     m_avoided_targets.push_back(m_target);
@@ -102,12 +102,12 @@
     return true;
 }
 
-stage_result repeatable_run::kept_back(duration back_after) const
+stage_result repeatable_run::quarantined_result(duration retry_after) const
 {
     if (!m_may_have_run)
-        return refused(reason::quarantined, back_after);
+        return refused(reason::quarantined, retry_after);
     return {
-        stage_status::failed, reason::quarantined, {}, {}, back_after, false};
+        stage_status::failed, reason::quarantined, {}, {}, retry_after, false};
 }
 
 // A stage that is given up ends at once. Waiting until the deadline would only
--- a/packages/decision/repeatable_run.hpp
+++ b/packages/decision/repeatable_run.hpp
@@ -20,8 +20,8 @@
 
     /// Returns the next step. An attempt without a result after
     /// \a attempt_timeout is abandoned for another one.
-    attempt_step next(instant now, retry_budget& budget,
-                      duration attempt_timeout);
+    attempt_step next_step(instant now, retry_budget& budget,
+                           duration attempt_timeout);
 
     /// Records that the requested attempt was sent to \a target.
     void sent(const std::string& target, instant now);
@@ -40,8 +40,8 @@
     bool ended(std::uint32_t attempt, const stage_result& result, instant now);
 
     /// Returns the result of a stage whose content is quarantined for
-    /// \a back_after.
-    stage_result kept_back(duration back_after) const;
+    /// \a retry_after.
+    stage_result quarantined_result(duration retry_after) const;
 
     /// Whether an attempt that ended may have run.
     bool may_have_run() const { return m_may_have_run; }
--- a/packages/decision/request_content.cpp
+++ b/packages/decision/request_content.cpp
@@ -16,7 +16,7 @@
     return digest_of(encoded, content.body);
 }
 
-digest stage_content(const request_key& key, const digest& request)
+digest stage_content_digest(const request_key& key, const digest& request)
 {
     return digest_of(
         request_content{key.account, key.stage, {}, {}, to_text(request)});
--- a/packages/decision/request_content.hpp
+++ b/packages/decision/request_content.hpp
@@ -24,6 +24,6 @@
 
 /// Returns the content digest of one stage of a request; \a request is the
 /// content digest of the request.
-digest stage_content(const request_key& key, const digest& request);
+digest stage_content_digest(const request_key& key, const digest& request);
 
 } // namespace mangofold::decision
--- a/packages/decision/retry_budget.hpp
+++ b/packages/decision/retry_budget.hpp
@@ -18,13 +18,16 @@
     }
 
     /// Records a first attempt.
-    void first_sent() { m_tokens = std::min(m_tokens + m_share, m_reserve); }
+    void note_first_attempt()
+    {
+        m_tokens = std::min(m_tokens + m_share, m_reserve);
+    }
 
     /// Whether the budget allows a retry.
-    bool has_one() const { return m_tokens >= 1; }
+    bool has_retry() const { return m_tokens >= 1; }
 
     /// Spends one retry. Returns whether the budget allowed it.
-    bool take();
+    bool try_spend();
 
 private:
     double m_share;
@@ -32,9 +35,9 @@
     double m_tokens;
 };
 
-inline bool retry_budget::take()
+inline bool retry_budget::try_spend()
 {
-    if (!has_one())
+    if (!has_retry())
         return false;
     m_tokens -= 1;
     return true;
--- a/packages/decision/selection_policy.cpp
+++ b/packages/decision/selection_policy.cpp
@@ -7,9 +7,9 @@
 {
 
 std::size_t
-least_expected_of_few::select(std::span<const target_view* const> targets,
-                              const std::string& zone, work_class work,
-                              random_source& random) const
+two_choice_selection::select(std::span<const target_view* const> targets,
+                             const std::string& zone, work_class work,
+                             random_source& random) const
 {
     std::vector<std::size_t> same_zone;
     std::vector<std::size_t> other_zones;
@@ -29,7 +29,7 @@
             const std::size_t index =
                 candidates[random.below(candidates.size())];
             const double cost_ns =
-                targets[index]->expected_ns(work) + cross_zone_ns;
+                targets[index]->expected_latency_ns(work) + cross_zone_ns;
             if (cost_ns < best_ns)
             {
                 best = index;
--- a/packages/decision/selection_policy.hpp
+++ b/packages/decision/selection_policy.hpp
@@ -37,10 +37,10 @@
 /// Samples two random targets of the entry's own availability zone and two of
 /// other zones ("power of two choices"), and chooses the one with the shortest
 /// expected latency. Targets of other zones have a fixed cost added.
-class least_expected_of_few
+class two_choice_selection
 {
 public:
-    explicit least_expected_of_few(
+    explicit two_choice_selection(
         duration cross_zone_cost = std::chrono::milliseconds(3))
         : m_cross_zone_cost(cross_zone_cost)
     {
--- a/packages/decision/sending_record.hpp
+++ b/packages/decision/sending_record.hpp
@@ -22,7 +22,7 @@
     bool may_send() const;
 
     /// Whether the request has run at no target and never will.
-    bool has_surely_not_run() const { return m_possible_runs == 0; }
+    bool is_known_not_run() const { return m_possible_runs == 0; }
 
     void note_sent() { ++m_possible_runs; }
 
--- a/packages/decision/target_gate.hpp
+++ b/packages/decision/target_gate.hpp
@@ -67,7 +67,7 @@
     std::uint64_t generation = 0;
     std::vector<std::string> pool_targets;
     std::size_t slots = 1;
-    class_shares shares;
+    class_limits shares;
     /// From the first sending of a request to the latest start of any.
     duration horizon{};
     /// In which every process takes a new manifest over.
@@ -204,7 +204,7 @@
     ticket_book m_tickets;
     execution_ledger m_ledger;
     ownership_history m_owners;
-    admission_queue m_queue{class_shares{}};
+    admission_queue m_queue{class_limits{}};
     std::map<run_id, run> m_runs;
     run_id m_next_run = 1;
     bool m_is_stopping = false;
--- a/packages/decision/target_gate.ipp
+++ b/packages/decision/target_gate.ipp
@@ -24,7 +24,7 @@
         return {};
     m_configuration = value;
     m_limit.set_slots(value.slots);
-    m_queue.set_shares(value.shares);
+    m_queue.set_class_limits(value.shares);
     m_ledger.set_horizon(value.horizon);
     m_owners.set_targets(value.pool_targets, now);
     return advance(now);
@@ -199,14 +199,14 @@
         const auto priority = static_cast<work_class>(index);
         value.queued[index] =
             static_cast<std::uint32_t>(m_queue.size(priority));
-        value.expected[index] =
+        value.expected_latency[index] =
             m_service[index] +
             m_queue.expected_wait(priority, m_limit.limit(), m_service[index]);
-        value.service += m_service[index];
+        value.service_time += m_service[index];
         known += m_service[index] != duration::zero() ? 1 : 0;
     }
     if (known > 0)
-        value.service /= known;
+        value.service_time /= known;
     return value;
 }
 
--- a/packages/decision/target_load.hpp
+++ b/packages/decision/target_load.hpp
@@ -16,9 +16,9 @@
     /// Queue length of each class, most urgent first.
     std::array<std::uint32_t, work_class_count> queued{};
     std::uint32_t limit = 1; ///< Runs that the target may have at once.
-    duration service{};      ///< Moving average of the service time.
+    duration service_time{}; ///< Moving average of the service time.
     /// Expected latency of new work of each class, from arrival to end.
-    std::array<duration, work_class_count> expected{};
+    std::array<duration, work_class_count> expected_latency{};
 
     friend bool operator==(const target_load&, const target_load&) = default;
 };
--- a/packages/entry/caller_api.cpp
+++ b/packages/entry/caller_api.cpp
@@ -186,10 +186,10 @@
     const decision::instant now = m_clock.now();
     if (m_is_draining)
         return refusal(reason::entry_draining, come_back_soon);
-    if (const auto wait = m_accounts.take(
+    if (const auto wait = m_accounts.throttle(
             parsed.account, {account.rate_per_s, account.burst}, entries, now))
         return refusal(reason::account_limit, *wait);
-    if (!m_in_progress.take(pipeline.priority))
+    if (!m_in_progress.try_acquire(pipeline.priority))
         return refusal(reason::entry_busy, come_back_soon);
     m_begun.note(decision::digest_of(parsed.account, parsed.id), now,
                  m_store.current()->document.start_horizon() +
@@ -205,7 +205,7 @@
     outcome ended = m_runner.run(parsed, in_force);
     const bool is_refused = ended.kind == outcome_kind::refused;
     const std::lock_guard lock(m_mutex);
-    m_in_progress.give_back(pipeline.priority);
+    m_in_progress.release(pipeline.priority);
     if (is_refused && is_first)
         m_begun.forget(decision::digest_of(parsed.account, parsed.id));
     else if (is_refused)
--- a/packages/entry/link_table.cpp
+++ b/packages/entry/link_table.cpp
@@ -120,8 +120,8 @@
 {
     const double seen = entries_per_sidecar();
     const std::lock_guard lock(m_mutex);
-    return decision::estimated_entries(seen, m_addresses.size(),
-                                       m_links.size());
+    return decision::estimated_entry_count(seen, m_addresses.size(),
+                                           m_links.size());
 }
 
 std::optional<dispatched>
--- a/packages/entry/pipeline_runner.cpp
+++ b/packages/entry/pipeline_runner.cpp
@@ -122,8 +122,8 @@
 digest pipeline_runner::content_of(const progress& state,
                                    const manifest::stage& stage)
 {
-    return stage_content({state.asked.account, state.asked.id, stage.id},
-                         content_digest(state.asked));
+    return stage_content_digest({state.asked.account, state.asked.id, stage.id},
+                                content_digest(state.asked));
 }
 
 std::optional<duration> pipeline_runner::keep_back(progress& state,
@@ -156,7 +156,7 @@
             stage.pool,
             [&](retry_budget& budget)
             {
-                return attempts.next(
+                return attempts.next_step(
                     now, budget,
                     attempt_timeout(usual, state.deadline - sent_at));
             });
@@ -169,8 +169,9 @@
         {
             withdraw();
             if (const auto back = keep_back(state, stage))
-                return attempts.kept_back(*back);
-            const auto target = m_router.pick(stage.pool, work, send->avoid);
+                return attempts.quarantined_result(*back);
+            const auto target =
+                m_router.pick(stage.pool, work, send->avoided_targets);
             if (target)
                 out = m_sidecars.submit(*target,
                                         submission_for(state, stage, *send),
@@ -214,7 +215,7 @@
     while (true)
     {
         const instant now = m_clock.now();
-        const attempt_step step = attempts.next(now);
+        const attempt_step step = attempts.next_step(now);
         if (const auto* ended = std::get_if<finish_stage>(&step))
             return ended->result;
         if (const auto* send = std::get_if<send_attempt>(&step))
--- a/packages/entry/router.cpp
+++ b/packages/entry/router.cpp
@@ -25,15 +25,15 @@
     m_pool_of.clear();
     for (const manifest::pool& pool : value->document.pools)
     {
-        std::vector<decision::target_place> places;
+        std::vector<decision::target_location> places;
         for (const manifest::target& one : pool.targets)
         {
             places.push_back({one.id, one.zone});
             m_pool_of[one.id] = pool.id;
         }
         auto [found, is_new] = m_pools.try_emplace(
-            pool.id, m_zone, decision::least_expected_of_few{},
-            decision::aside_policy{}, ++m_seed);
+            pool.id, m_zone, decision::two_choice_selection{},
+            decision::ejection_policy{}, ++m_seed);
         found->second.set_targets(places);
         m_budgets.try_emplace(pool.id, retry_share, retry_reserve);
     }
@@ -57,7 +57,7 @@
     const std::lock_guard lock(m_mutex);
     for (const manifest::stage& stage : pipeline.stages)
     {
-        sum += m_pools.at(stage.pool).expected(pipeline.priority, now);
+        sum += m_pools.at(stage.pool).expected_latency(pipeline.priority, now);
     }
     return sum;
 }
--- a/packages/entry/router.hpp
+++ b/packages/entry/router.hpp
@@ -17,7 +17,7 @@
 class router
 {
 public:
-    using pool_router = decision::pool_router<decision::least_expected_of_few>;
+    using pool_router = decision::pool_router<decision::two_choice_selection>;
 
     router(std::string zone, const runtime::clock& time, std::uint64_t seed);
 
--- a/packages/entry/stage_timing.hpp
+++ b/packages/entry/stage_timing.hpp
@@ -27,7 +27,7 @@
         const std::lock_guard lock(m_mutex);
         const auto found = m_stages.find(stage);
         return found == m_stages.end() ? decision::duration::zero()
-                                       : found->second.value(nearly_all);
+                                       : found->second.quantile(nearly_all);
     }
 
 private:
--- a/packages/manifest/manifest.hpp
+++ b/packages/manifest/manifest.hpp
@@ -27,7 +27,7 @@
 {
     std::string id;
     std::size_t slots = 1; ///< Runs that one target takes at once.
-    decision::class_shares shares;
+    decision::class_limits shares;
     bool checks_orders = false; ///< Whether targets refuse stale orders.
     std::vector<target> targets;
 
--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -2,16 +2,16 @@
 
 #include "catalog/catalog_index.hpp"
 #include "decision/cold_targets.hpp"
+#include "decision/decaying_max.hpp"
 #include "decision/drain.hpp"
 #include "decision/engine_choice.hpp"
+#include "decision/loop_lag.hpp"
 #include "decision/moving_mean.hpp"
 #include "decision/quarantine.hpp"
 #include "decision/random_source.hpp"
-#include "decision/recent_longest.hpp"
 #include "decision/retry_budget.hpp"
 #include "decision/target_directory.hpp"
 #include "decision/target_standing.hpp"
-#include "decision/turn_lateness.hpp"
 #include "decision/zone_evacuations.hpp"
 #include "runtime/clock.hpp"
 #include "runtime/metrics.hpp"
@@ -109,7 +109,7 @@
         /// From a request's head to its first send.
         decision::moving_mean before{duration::zero()};
 
-        decision::recent_longest answer; ///< From a send to its end.
+        decision::decaying_max answer; ///< From a send to its end.
     };
     std::map<std::string, route_times> routes; ///< By name.
     piece_maker* pieces = nullptr;
@@ -126,7 +126,7 @@
         return std::max<std::size_t>(entries_known, settings.seeds.size());
     }
     /// How far behind the loop is; whoever runs it notes its turns.
-    decision::turn_lateness lateness{turn_interval};
+    decision::loop_lag lateness{turn_interval};
     std::optional<decision::drain> drain; ///< While the process stops.
     /// Whether enough other entries go on for longer than this one, which is
     /// stopping, to take its callers.
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -69,7 +69,7 @@
     if (path == "/metrics")
         return {ok, m_context.metrics.text()};
     if (m_context.drain)
-        m_context.drain->note_unready_told(m_context.now());
+        m_context.drain->note_unready_reply(m_context.now());
     const bool is_ready = m_context.is_informed() && !m_context.is_stopping();
     return {is_ready ? ok : unavailable, {}};
 }
@@ -96,13 +96,13 @@
     for (;;)
     {
         const instant now = m_context.now();
-        if (m_context.drain->is_noticed(now))
+        if (m_context.drain->is_out_of_rotation(now))
             m_requests.close_idle();
         const bool is_idle =
             m_requests.connections() == 0 && m_gatherer.jobs() == 0;
-        if (now + last_answers_time >= m_context.drain->end())
+        if (now + last_answers_time >= m_context.drain->request_deadline())
             m_requests.end_unsent();
-        if (m_context.drain->may_end(now, is_idle))
+        if (m_context.drain->may_exit(now, is_idle))
             break;
         error_code ignored; // Nobody cancels it.
         timer.expires_after(stop_tick);
@@ -162,8 +162,8 @@
 void entry_process::note_turn()
 {
     const instant now = m_context.now();
-    m_context.lateness.note_turn(now);
-    const duration late = m_context.lateness.late(now);
+    m_context.lateness.note_timer_run(now);
+    const duration late = m_context.lateness.lag(now);
     m_context.metrics.set_gauge({"loop_late_seconds", {}},
                                 std::chrono::duration<double>(late).count());
     if (late >= much_late)
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -126,7 +126,7 @@
         std::any_of(m_facts.pieces.begin(), m_facts.pieces.end(),
                     [](std::uint32_t one) { return one > 0; }) &&
         !m_route->stages.empty();
-    m_context.retries_of(m_service).first_sent();
+    m_context.retries_of(m_service).note_first_attempt();
     constexpr int most_rounds = 6;
     for (int round = 0; round < most_rounds; ++round)
     {
@@ -218,7 +218,7 @@
         m_refusal = refusal::stopping;
         co_return attempt_end::given_up;
     }
-    if (is_retry && !m_context.retries_of(m_service).take())
+    if (is_retry && !m_context.retries_of(m_service).try_spend())
     {
         if (m_refusal == refusal::none)
             m_refusal = refusal::retries_spent;
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -74,7 +74,7 @@
     awaitable<void> wait_a_moment();
     bool admit();
     bool is_left_to_others();
-    decision::drain::request_time expected_time() const;
+    decision::drain::request_duration expected_time() const;
     duration longest_answer() const;
     void end_soon();
     std::uint32_t tokens_out() const;
--- a/packages/serving/exchange_admission.cpp
+++ b/packages/serving/exchange_admission.cpp
@@ -106,13 +106,13 @@
     if (!m_context.drain)
         return false;
     const instant now = m_context.now();
-    if (m_context.drain->is_noticed(now))
-        m_ends_by = m_context.drain->end();
-    return !m_context.drain->takes(now, expected_time(),
-                                   m_context.is_outlasted());
+    if (m_context.drain->is_out_of_rotation(now))
+        m_ends_by = m_context.drain->request_deadline();
+    return !m_context.drain->accepts(now, expected_time(),
+                                     m_context.is_outlasted());
 }
 
-decision::drain::request_time exchange::expected_time() const
+decision::drain::request_duration exchange::expected_time() const
 {
     const auto known = m_context.routes.find(m_route->name);
     if (known == m_context.routes.end())
@@ -121,7 +121,7 @@
     const duration answer =
         times.first.mean() + times.per_token.mean() * tokens_out();
     return {times.before.mean() + answer,
-            std::min(left(), times.before.above(1) + longest_answer())};
+            std::min(left(), times.before.mean_plus(1) + longest_answer())};
 }
 
 // Half more than the longest that was seen lately: answers of one route differ
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -66,7 +66,7 @@
     // of one target or one moment.
     const bool may_improve = status >= 500 && m_sends->may_send() &&
                              !m_is_head_sent && !is_over() &&
-                             m_context.retries_of(m_service).has_one();
+                             m_context.retries_of(m_service).has_retry();
     if (may_improve)
     {
         m_refusal = refusal::target_lost;
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -44,7 +44,7 @@
     }
     // "Not run" is said only where it is sure; otherwise the caller must not
     // conclude anything.
-    if (!m_sends || m_sends->has_surely_not_run())
+    if (!m_sends || m_sends->is_known_not_run())
         return 503;
     const bool is_silence =
         m_refusal == refusal::target_silent || m_refusal == refusal::too_late;
@@ -79,7 +79,8 @@
             .substr(0, 5);
     const double longest_s =
         m_refusal == refusal::stopping && m_context.drain
-            ? seconds(m_context.drain->end() - m_context.now()).count()
+            ? seconds(m_context.drain->request_deadline() - m_context.now())
+                  .count()
             : 1.0;
     const double back =
         std::max(soonest_s, std::min(left_s * back_share, longest_s));
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -63,7 +63,7 @@
         drop_stages();
         m_stages = std::make_unique<stage_runner>(
             m_context, *m_route, m_facts, content(), likely_zone(), yields(),
-            m_began + m_route->aim - engine.first.above(1),
+            m_began + m_route->aim - engine.first.mean_plus(1),
             std::min(stages_end() - engine.first.mean(), last_send()));
         end = co_await m_stages->run();
         if (m_session->has_left_unseen())
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -108,7 +108,7 @@
     own.set_is_stopping(m_context.is_stopping());
     if (m_context.drain)
         own.set_stopping_for_ns(
-            (m_context.now() - m_context.drain->began()).count());
+            (m_context.now() - m_context.drain->started_at()).count());
     own.set_has_targets(m_context.knows_targets);
     own.set_ends_summary(m_context.quarantine.ends().summary());
     write_zones(m_context.evacuations.known(), own);
--- a/packages/sidecar/gate_keeper.cpp
+++ b/packages/sidecar/gate_keeper.cpp
@@ -121,7 +121,7 @@
         m_target_ended_at = now;
     }
     const target_start target{m_target, m_gate.incarnation() + m_target_ends};
-    const digest content = stage_content(run.key, run.request);
+    const digest content = stage_content_digest(run.key, run.request);
     runtime::event("run_lost")
         .with("request", run.key.request_id)
         .with("stage", run.key.stage)
--- a/packages/sidecar/gate_keeper.hpp
+++ b/packages/sidecar/gate_keeper.hpp
@@ -27,7 +27,7 @@
 class gate_keeper
 {
 public:
-    using gate = decision::target_gate<decision::latency_limit>;
+    using gate = decision::target_gate<decision::adaptive_limit>;
 
     gate_keeper(gate::identity self, gate::bounds limits,
                 const runtime::clock& time, runtime::metrics& counters);
--- a/packages/wire/convert.cpp
+++ b/packages/wire/convert.cpp
@@ -62,10 +62,10 @@
     message.set_running(load.running);
     for (const std::uint32_t queued : load.queued)
         message.add_queued(queued);
-    for (const duration& expected : load.expected)
+    for (const duration& expected : load.expected_latency)
         message.add_expected_us(to_us(expected));
     message.set_limit(load.limit);
-    message.set_service_us(to_us(load.service));
+    message.set_service_us(to_us(load.service_time));
     return message;
 }
 
@@ -74,7 +74,7 @@
     decision::target_load value;
     value.running = load.running();
     value.limit = load.limit();
-    value.service = std::chrono::microseconds(load.service_us());
+    value.service_time = std::chrono::microseconds(load.service_us());
     const auto known = std::min<std::size_t>(
         value.queued.size(), static_cast<std::size_t>(load.queued_size()));
     for (std::size_t index = 0; index < known; ++index)
--- a/tests/decision/account_limiter_test.cpp
+++ b/tests/decision/account_limiter_test.cpp
@@ -17,7 +17,7 @@
     for (int ms = 0; ms < 1000; ++ms)
     {
         const instant now{std::chrono::milliseconds(ms)};
-        admitted += limiter.take("desk", rate, entries, now) ? 0 : 1;
+        admitted += limiter.throttle("desk", rate, entries, now) ? 0 : 1;
     }
     return admitted;
 }
@@ -43,11 +43,11 @@
     {
         account_limiter limiter;
         const account_rate rate{10, 1};
-        CHECK_FALSE(limiter.take("desk", rate, 1, instant{}));
-        const auto wait = limiter.take("desk", rate, 1, instant{});
+        CHECK_FALSE(limiter.throttle("desk", rate, 1, instant{}));
+        const auto wait = limiter.throttle("desk", rate, 1, instant{});
         REQUIRE(wait);
         CHECK(*wait <= 100ms);
-        CHECK_FALSE(limiter.take("desk", rate, 1, instant{} + *wait + 1ms));
+        CHECK_FALSE(limiter.throttle("desk", rate, 1, instant{} + *wait + 1ms));
     }
 
     TEST_CASE("a rate of zero sets no limit")
@@ -59,8 +59,8 @@
 
     TEST_CASE("the number of entries is estimated from the links of a sidecar")
     {
-        CHECK(estimated_entries(2, 39, 39) == doctest::Approx(2));
-        CHECK(estimated_entries(64, 5600, 256) == doctest::Approx(1400));
-        CHECK(estimated_entries(0, 10, 0) == doctest::Approx(1));
+        CHECK(estimated_entry_count(2, 39, 39) == doctest::Approx(2));
+        CHECK(estimated_entry_count(64, 5600, 256) == doctest::Approx(1400));
+        CHECK(estimated_entry_count(0, 10, 0) == doctest::Approx(1));
     }
 }
--- a/tests/decision/admission_queue_test.cpp
+++ b/tests/decision/admission_queue_test.cpp
@@ -93,16 +93,16 @@
     {
         in_progress_limit limit(10);
         int taken = 0;
-        while (limit.take(work_class::bulk))
+        while (limit.try_acquire(work_class::bulk))
             ++taken;
         CHECK(taken == 6);
-        CHECK(limit.take(work_class::standard));
-        CHECK(limit.take(work_class::standard));
-        CHECK_FALSE(limit.take(work_class::standard));
-        CHECK(limit.take(work_class::urgent));
-        CHECK(limit.take(work_class::urgent));
-        CHECK_FALSE(limit.take(work_class::urgent));
-        limit.give_back(work_class::bulk);
-        CHECK(limit.take(work_class::urgent));
+        CHECK(limit.try_acquire(work_class::standard));
+        CHECK(limit.try_acquire(work_class::standard));
+        CHECK_FALSE(limit.try_acquire(work_class::standard));
+        CHECK(limit.try_acquire(work_class::urgent));
+        CHECK(limit.try_acquire(work_class::urgent));
+        CHECK_FALSE(limit.try_acquire(work_class::urgent));
+        limit.release(work_class::bulk);
+        CHECK(limit.try_acquire(work_class::urgent));
     }
 }
--- a/tests/decision/drain_test.cpp
+++ b/tests/decision/drain_test.cpp
@@ -11,14 +11,14 @@
 constexpr instant start{1h};
 constexpr duration grace = 8s;
 constexpr int required_replies = 2;
-constexpr drain::request_time long_request{2s, 3s};
-constexpr drain::request_time short_request{50ms, 200ms};
+constexpr drain::request_duration long_request{2s, 3s};
+constexpr drain::request_duration short_request{50ms, 200ms};
 
 drain drain_noticed_after(duration time)
 {
     drain draining(start, grace, required_replies);
-    draining.note_unready_told(start + time / 2);
-    draining.note_unready_told(start + time);
+    draining.note_unready_reply(start + time / 2);
+    draining.note_unready_reply(start + time);
     return draining;
 }
 
@@ -29,12 +29,12 @@
 TEST_CASE("a stopping entry accepts requests until the balancer has noticed")
 {
     drain draining(start, grace, required_replies);
-    CHECK(draining.takes(start + 1s, long_request, true));
-    draining.note_unready_told(start + 1s);
-    CHECK(draining.takes(start + 1500ms, long_request, true));
-    draining.note_unready_told(start + 1900ms);
-    CHECK(draining.takes(start + 2s, long_request, true));
-    CHECK_FALSE(draining.takes(start + 2200ms, long_request, true));
+    CHECK(draining.accepts(start + 1s, long_request, true));
+    draining.note_unready_reply(start + 1s);
+    CHECK(draining.accepts(start + 1500ms, long_request, true));
+    draining.note_unready_reply(start + 1900ms);
+    CHECK(draining.accepts(start + 2s, long_request, true));
+    CHECK_FALSE(draining.accepts(start + 2200ms, long_request, true));
 }
 
 // Guards against waiting forever for a load balancer that sends no readiness
@@ -42,22 +42,22 @@
 TEST_CASE("a drain goes on without readiness checks after a time limit")
 {
     const drain draining(start, grace, required_replies);
-    CHECK(draining.takes(start + 2400ms, long_request, true));
-    CHECK_FALSE(draining.takes(start + 2500ms, long_request, true));
-    CHECK(draining.may_end(start + 2500ms, true));
+    CHECK(draining.accepts(start + 2400ms, long_request, true));
+    CHECK_FALSE(draining.accepts(start + 2500ms, long_request, true));
+    CHECK(draining.may_exit(start + 2500ms, true));
 }
 
 // Guards against refusing every request while all entries restart at once.
 TEST_CASE("without other entries, a stopping entry accepts what it can finish")
 {
     const drain draining = drain_noticed_after(1s);
-    CHECK(draining.takes(start + 4s, long_request, false));
-    CHECK_FALSE(draining.takes(start + 4s, long_request, true));
-    CHECK_FALSE(draining.takes(start + 5s, long_request, false));
-    CHECK(draining.takes(start + 7s, short_request, true));
-    CHECK_FALSE(draining.takes(start + 7600ms, short_request, false));
-    CHECK(draining.takes(start + 2400ms, long_request, false));
-    CHECK_FALSE(draining.takes(start + 2400ms, long_request, true));
+    CHECK(draining.accepts(start + 4s, long_request, false));
+    CHECK_FALSE(draining.accepts(start + 4s, long_request, true));
+    CHECK_FALSE(draining.accepts(start + 5s, long_request, false));
+    CHECK(draining.accepts(start + 7s, short_request, true));
+    CHECK_FALSE(draining.accepts(start + 7600ms, short_request, false));
+    CHECK(draining.accepts(start + 2400ms, long_request, false));
+    CHECK_FALSE(draining.accepts(start + 2400ms, long_request, true));
 }
 
 // Guards against an instance that stays out of service longer than its work
@@ -65,8 +65,8 @@
 TEST_CASE("a stopping entry exits once the balancer has noticed and it is idle")
 {
     const drain draining = drain_noticed_after(1s);
-    CHECK_FALSE(draining.may_end(start + 1100ms, true));
-    CHECK(draining.may_end(start + 1200ms, true));
-    CHECK_FALSE(draining.may_end(start + 5s, false));
-    CHECK(draining.may_end(start + 7700ms, false));
+    CHECK_FALSE(draining.may_exit(start + 1100ms, true));
+    CHECK(draining.may_exit(start + 1200ms, true));
+    CHECK_FALSE(draining.may_exit(start + 5s, false));
+    CHECK(draining.may_exit(start + 7700ms, false));
 }
--- a/tests/decision/moving_mean_test.cpp
+++ b/tests/decision/moving_mean_test.cpp
@@ -12,7 +12,7 @@
     for (int count = 0; count < 200; ++count)
         average.add(300ms);
     CHECK(average.mean() > 299ms);
-    CHECK(average.above(1) < 310ms);
+    CHECK(average.mean_plus(1) < 310ms);
 }
 
 // Guards against estimates from the mean alone: if half of the requests take
@@ -24,6 +24,6 @@
         average.add(count % 2 == 0 ? 100ms : 300ms);
     CHECK(average.mean() > 180ms);
     CHECK(average.mean() < 220ms);
-    CHECK(average.above(1) > 280ms);
-    CHECK(average.above(1) < 320ms);
+    CHECK(average.mean_plus(1) > 280ms);
+    CHECK(average.mean_plus(1) < 320ms);
 }
--- a/tests/decision/pool_router_test.cpp
+++ b/tests/decision/pool_router_test.cpp
@@ -8,19 +8,19 @@
 namespace
 {
 
-using router = pool_router<least_expected_of_few>;
+using router = pool_router<two_choice_selection>;
 
 const stage_result failure{
     stage_status::failed, reason::target_failed, {}, {}, {}, false};
 
-router make_router(const std::vector<target_place>& places)
+router make_router(const std::vector<target_location>& locations)
 {
-    router result("z1", least_expected_of_few{}, aside_policy{}, 1);
-    result.set_targets(places);
-    for (const target_place& place : places)
+    router result("z1", two_choice_selection{}, ejection_policy{}, 1);
+    result.set_targets(locations);
+    for (const target_location& location : locations)
     {
-        result.link_opened(place.id, instant{});
-        result.load_reported(place.id, {0, {}, 4, 10ms, {}});
+        result.link_opened(location.id, instant{});
+        result.load_reported(location.id, {0, {}, 4, 10ms, {}});
     }
     return result;
 }
@@ -64,8 +64,8 @@
         // first, so its expected latency stays short.
         router pool = make_router({{"a", "z1"}});
         pool.load_reported("a", {4, {0, 0, 100}, 4, 10ms, {12ms, 12ms, 400ms}});
-        CHECK(pool.expected(work_class::urgent, instant{}) < 30ms);
-        CHECK(pool.expected(work_class::bulk, instant{}) > 300ms);
+        CHECK(pool.expected_latency(work_class::urgent, instant{}) < 30ms);
+        CHECK(pool.expected_latency(work_class::bulk, instant{}) > 300ms);
     }
 
     TEST_CASE("a failing target is ejected and probed later")
--- a/tests/decision/runs_test.cpp
+++ b/tests/decision/runs_test.cpp
@@ -24,7 +24,7 @@
                       const std::string& target, instant now,
                       duration timeout = no_timeout)
 {
-    const auto step = run.next(now, budget, timeout);
+    const auto step = run.next_step(now, budget, timeout);
     REQUIRE(std::holds_alternative<send_attempt>(step));
     run.sent(target, now);
     return std::get<send_attempt>(step).attempt;
@@ -51,7 +51,8 @@
         CHECK(second == first + 1);
         CHECK_FALSE(run.ended(first, success, instant{1s}));
         CHECK(run.ended(second, success, instant{1s}));
-        CHECK(result_of(run.next(instant{1s}, budget, no_timeout)) == success);
+        CHECK(result_of(run.next_step(instant{1s}, budget, no_timeout)) ==
+              success);
     }
 
     TEST_CASE("a failing stage ends at once if the retry budget is spent")
@@ -62,7 +63,7 @@
         retry_budget budget(0.1, 0.5);
         const auto first = send_to(run, budget, "a", instant{});
         run.ended(first, failure, instant{});
-        const auto result = result_of(run.next(instant{1s}, budget, 1h));
+        const auto result = result_of(run.next_step(instant{1s}, budget, 1h));
         CHECK(result.status == stage_status::failed);
         CHECK(result.why == reason::retry_budget_spent);
     }
@@ -76,7 +77,8 @@
             const auto attempt = send_to(run, budget, target, instant{});
             run.ended(attempt, refused(reason::queue_full, 300ms), instant{});
         }
-        const auto result = result_of(run.next(instant{}, budget, no_timeout));
+        const auto result =
+            result_of(run.next_step(instant{}, budget, no_timeout));
         CHECK(result.status == stage_status::refused);
         CHECK(result.retry_after == 300ms);
         CHECK_FALSE(run.may_have_run());
@@ -90,8 +92,9 @@
         for (const char* target : {"b", "c"})
             run.ended(send_to(run, budget, target, instant{1s}),
                       refused(reason::queue_full), instant{1s});
-        CHECK(result_of(run.next(instant{1s}, budget, no_timeout)).status ==
-              stage_status::failed);
+        CHECK(
+            result_of(run.next_step(instant{1s}, budget, no_timeout)).status ==
+            stage_status::failed);
     }
 }
 
@@ -102,10 +105,10 @@
         // The link closes while the request is in flight. Another target, or a
         // later process of the same target, could run the request again.
         owned_run run({}, deadline, {"a", "b"});
-        run.next(instant{});
+        run.next_step(instant{});
         run.sent(11);
         run.link_lost(1, instant{});
-        const auto step = run.next(instant{100ms});
+        const auto step = run.next_step(instant{100ms});
         REQUIRE(std::holds_alternative<send_attempt>(step));
         CHECK(std::get<send_attempt>(step).target == "a");
         CHECK(std::get<send_attempt>(step).pinned_incarnation == 11);
@@ -114,19 +117,19 @@
     TEST_CASE("no result before the deadline ends as unknown, never as refused")
     {
         owned_run run({}, deadline, {"a", "b"});
-        run.next(instant{});
+        run.next_step(instant{});
         run.sent(11);
-        const auto result = result_of(run.next(deadline));
+        const auto result = result_of(run.next_step(deadline));
         CHECK(result.status == stage_status::unknown);
     }
 
     TEST_CASE("the next owner is tried only after the owner refuses for good")
     {
         owned_run run({}, deadline, {"a", "b"});
-        run.next(instant{});
+        run.next_step(instant{});
         run.sent(11);
         run.ended(1, refused(reason::target_leaving), instant{});
-        const auto step = run.next(instant{});
+        const auto step = run.next_step(instant{});
         REQUIRE(std::holds_alternative<send_attempt>(step));
         CHECK(std::get<send_attempt>(step).target == "b");
         CHECK(std::get<send_attempt>(step).renounced_by ==
@@ -139,10 +142,11 @@
         owned_run run({}, deadline, {"a"});
         for (int index = 0; index < 12; ++index)
         {
-            run.next(instant{std::chrono::milliseconds(20 * index)});
+            run.next_step(instant{std::chrono::milliseconds(20 * index)});
             run.not_sent(instant{std::chrono::milliseconds(20 * index)});
         }
-        CHECK(result_of(run.next(instant{1s})).status == stage_status::refused);
+        CHECK(result_of(run.next_step(instant{1s})).status ==
+              stage_status::refused);
     }
 }
 
@@ -179,7 +183,7 @@
         repeatable_run run({}, deadline, 1);
         retry_budget budget(0.1, 0.5);
         send_to(run, budget, "a", instant{});
-        const auto step = run.next(instant{1s}, budget, 100ms);
+        const auto step = run.next_step(instant{1s}, budget, 100ms);
         REQUIRE(std::holds_alternative<wait_until>(step));
         CHECK(run.ended(1, success, instant{2s}));
     }
@@ -187,13 +191,13 @@
     TEST_CASE("the quantile follows recent durations")
     {
         latency_quantile latencies;
-        CHECK(latencies.value(0.99) == 0ms);
+        CHECK(latencies.quantile(0.99) == 0ms);
         for (int index = 0; index < 100; ++index)
             latencies.add(10ms);
-        CHECK(latencies.value(0.99) >= 10ms);
-        CHECK(latencies.value(0.99) <= 13ms);
+        CHECK(latencies.quantile(0.99) >= 10ms);
+        CHECK(latencies.quantile(0.99) <= 13ms);
         for (int index = 0; index < 20000; ++index)
             latencies.add(100ms);
-        CHECK(latencies.value(0.5) >= 100ms);
+        CHECK(latencies.quantile(0.5) >= 100ms);
     }
 }
--- a/tests/decision/sending_record_test.cpp
+++ b/tests/decision/sending_record_test.cpp
@@ -11,10 +11,10 @@
     sending_record record(false, 3);
     record.note_sent();
     CHECK_FALSE(record.may_send());
-    CHECK_FALSE(record.has_surely_not_run());
+    CHECK_FALSE(record.is_known_not_run());
     record.note_not_run();
     CHECK(record.may_send());
-    CHECK(record.has_surely_not_run());
+    CHECK(record.is_known_not_run());
 }
 
 TEST_CASE("a repeatable request is sent to at most max_targets targets")
@@ -38,5 +38,5 @@
         record.note_not_run();
     }
     CHECK_FALSE(record.may_send());
-    CHECK(record.has_surely_not_run());
+    CHECK(record.is_known_not_run());
 }
--- a/tests/promises/world.cpp
+++ b/tests/promises/world.cpp
@@ -129,7 +129,7 @@
     sending& one = m_sendings[chosen];
     if (one.has_ended)
         return;
-    const attempt_step step = one.run.next(m_now);
+    const attempt_step step = one.run.next_step(m_now);
     if (const auto* attempt = std::get_if<send_attempt>(&step))
         return submit(chosen, *attempt);
     const auto* ended = std::get_if<finish_stage>(&step);
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -87,7 +87,7 @@
 {
     for (;;)
     {
-        context->lateness.note_turn(context->now());
+        context->lateness.note_timer_run(context->now());
         loop_timer timer(loop, turn_interval);
         error_code ignored; // Nobody cancels it.
         co_await timer.async_wait(into(ignored));
