--- a/packages/decision/drain.hpp
+++ b/packages/decision/drain.hpp
@@ -5,54 +5,54 @@
 namespace mangofold::decision
 {
 
-/// How a process that was told to stop goes on for its callers: which new
-/// requests it takes, and when it may end.
+/// Graceful shutdown of an entry: decides which new requests a stopping
+/// process accepts and when the process may exit.
 class drain
 {
 public:
-    /// The process was told to stop at \a began and must have ended after
-    /// \a grace. A balancer sends it no new callers after \a answers to
-    /// whether it is ready that say no.
-    drain(instant began, duration grace, int answers);
+    /// The process was told to stop at \a started_at and must exit within
+    /// \a grace. The load balancer stops sending new connections after
+    /// \a required_replies readiness checks were answered with "not ready".
+    drain(instant started_at, duration grace, int required_replies);
 
-    /// Notes that the balancer was told at \a now that this process is not
-    /// ready.
-    void note_unready_told(instant now);
+    /// Records that a readiness check was answered with "not ready".
+    void note_unready_reply(instant now);
 
-    /// Whether new callers are sent elsewhere by \a now.
-    bool is_noticed(instant now) const;
+    /// Whether the load balancer sends new connections elsewhere by \a now.
+    bool is_out_of_rotation(instant now) const;
 
-    /// Returns when the process was told to stop.
-    instant began() const { return m_began; }
+    /// Returns the time at which the process was told to stop.
+    instant started_at() const { return m_started_at; }
 
-    /// Returns the time by which each request must have ended.
-    instant end() const;
+    /// Returns the time by which every request must have ended.
+    instant request_deadline() const;
 
-    /// How long a request takes, as far as is known.
-    struct request_time
+    /// The expected duration of a request.
+    struct request_duration
     {
-        duration usual{};
+        duration typical{};
         duration longest{};
 
-        friend bool operator==(const request_time&,
-                               const request_time&) = default;
+        friend bool operator==(const request_duration&,
+                               const request_duration&) = default;
     };
 
-    /// Whether a request that comes at \a now is taken. \a is_outlasted tells
-    /// whether enough other entries go on for longer to take it.
-    bool takes(instant now, const request_time& time, bool is_outlasted) const;
+    /// Whether a request that arrives at \a now is accepted.
+    /// \a has_other_entries tells whether enough other entries run longer than
+    /// this one to serve the request.
+    bool accepts(instant now, const request_duration& time,
+                 bool has_other_entries) const;
 
-    /// Whether the process may end; \a is_idle tells whether it has nothing
-    /// left to do.
-    bool may_end(instant now, bool is_idle) const;
+    /// Whether the process may exit; \a is_idle tells whether no work is left.
+    bool may_exit(instant now, bool is_idle) const;
 
 private:
-    instant noticed_at() const;
+    instant out_of_rotation_at() const;
 
-    instant m_began;
+    instant m_started_at;
     duration m_grace;
-    int m_answers_left;
-    instant m_told_at{}; ///< The last of these answers.
+    int m_replies_left;
+    instant m_last_reply_at{}; ///< Time of the last required reply.
 };
 
 } // namespace mangofold::decision
