--- a/packages/decision/execution_ledger.cpp
+++ b/packages/decision/execution_ledger.cpp
@@ -14,8 +14,8 @@
     drop_old_outcomes(now);
     while (m_records.size() >= m_bounds.max_keys)
     {
-        // Dropping a key within the horizon would let a resend run again;
-        // refusing new keys costs availability only.
+        // Evicting a key within the horizon would let a resend run again.
+        // Refusing new keys costs only availability.
         if (!evict_oldest(now))
             return false;
     }
@@ -31,12 +31,12 @@
 void execution_ledger::end(const digest& key, const stage_result& outcome,
                            instant now)
 {
-    record& entry = m_records[key];
-    entry.status = state::ended;
-    entry.since = now;
-    entry.outcome = outcome;
+    record& stored = m_records[key];
+    stored.status = state::ended;
+    stored.since = now;
+    stored.outcome = outcome;
     m_body_bytes += outcome.body.size();
-    m_with_outcome.push_back({key, now});
+    m_keys_with_outcome.push_back({key, now});
 }
 
 void execution_ledger::renounce(const digest& key, instant now)
@@ -44,42 +44,42 @@
     if (m_records.contains(key))
         return;
     m_records[key] = record{state::renounced, {}, now, {}};
-    note_age(key, now);
+    add_evictable(key, now);
 }
 
 void execution_ledger::drop_old_outcomes(instant now)
 {
-    while (!m_with_outcome.empty() &&
-           m_with_outcome.front().at + m_bounds.horizon <= now)
+    while (!m_keys_with_outcome.empty() &&
+           m_keys_with_outcome.front().at + m_bounds.horizon <= now)
     {
-        const aged oldest = m_with_outcome.front();
-        m_with_outcome.pop_front();
+        const timed_key oldest = m_keys_with_outcome.front();
+        m_keys_with_outcome.pop_front();
         const auto found = m_records.find(oldest.key);
         if (found == m_records.end())
             continue;
-        record& entry = found->second;
-        m_body_bytes -= entry.outcome.body.size();
-        entry.outcome = {};
-        entry.status = state::forgotten;
-        note_age(oldest.key, oldest.at);
+        record& stored = found->second;
+        m_body_bytes -= stored.outcome.body.size();
+        stored.outcome = {};
+        stored.status = state::forgotten;
+        add_evictable(oldest.key, oldest.at);
     }
 }
 
 bool execution_ledger::evict_oldest(instant now)
 {
-    if (m_evictable.empty())
+    if (m_evictable_keys.empty())
         return false;
-    const aged oldest = m_evictable.front();
+    const timed_key oldest = m_evictable_keys.front();
     if (oldest.at + m_bounds.horizon > now)
         return false;
-    m_evictable.pop_front();
+    m_evictable_keys.pop_front();
     m_records.erase(oldest.key);
     return true;
 }
 
-void execution_ledger::note_age(const digest& key, instant now)
+void execution_ledger::add_evictable(const digest& key, instant now)
 {
-    m_evictable.push_back({key, now});
+    m_evictable_keys.push_back({key, now});
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/execution_ledger.hpp
+++ b/packages/decision/execution_ledger.hpp
@@ -12,24 +12,25 @@
 namespace mangofold::decision
 {
 
-/// Remembers which non-repeatable stages this process accepted, and how they
-/// ended. Memory is bounded: when it is full, new keys are refused.
+/// Records the non-repeatable stages that this process accepted, and their
+/// outcomes. A resend is answered from the ledger, so that each stage runs at
+/// most once. Memory is bounded: a full ledger refuses new keys.
 class execution_ledger
 {
 public:
     enum class state : std::uint8_t
     {
-        open,      ///< Accepted, not ended.
-        ended,     ///< Ended, the outcome is held.
-        forgotten, ///< Ended, the outcome is no longer held.
-        renounced  ///< Never ran and never will in this process.
+        open,      ///< Accepted and not ended.
+        ended,     ///< Ended, the outcome is stored.
+        forgotten, ///< Ended, the outcome is no longer stored.
+        renounced  ///< Did not run and never will in this process.
     };
 
     struct bounds
     {
-        duration horizon;           ///< How long an outcome is held.
-        std::size_t max_keys;       ///< Keys of any state.
-        std::size_t max_body_bytes; ///< Bytes of all held outcomes.
+        duration horizon;           ///< How long an outcome is stored.
+        std::size_t max_keys;       ///< Keys in any state.
+        std::size_t max_body_bytes; ///< Bytes of all stored outcomes.
 
         friend bool operator==(const bounds&, const bounds&) = default;
     };
@@ -37,32 +38,33 @@
     struct record
     {
         state status = state::open;
-        digest request;  ///< Digest of the caller's request.
-        instant since{}; ///< When it was accepted, or when it ended.
+        digest request; ///< Digest of the caller's request.
+        instant
+            since{}; ///< When it was accepted or renounced, or when it ended.
         stage_result outcome;
     };
 
     explicit execution_ledger(bounds limits) : m_bounds(limits) {}
 
-    /// Returns what is known of \a key, or nothing.
+    /// Returns the record of \a key, or nullptr.
     const record* find(const digest& key) const;
 
-    /// Whether \a key could be noted now; makes room where that is safe.
+    /// Whether another key fits. Evicts keys that are old enough first.
     bool has_room(instant now);
 
-    /// Notes that \a key was accepted.
+    /// Records that \a key was accepted.
     void open(const digest& key, const digest& request, instant now);
 
-    /// Notes how \a key ended.
+    /// Records the outcome of \a key.
     void end(const digest& key, const stage_result& outcome, instant now);
 
-    /// Drops \a key, which was accepted but never started.
+    /// Removes \a key, which was accepted but never ran.
     void withdraw(const digest& key) { m_records.erase(key); }
 
-    /// Notes that this process will never run \a key.
+    /// Records that this process will never run \a key.
     void renounce(const digest& key, instant now);
 
-    /// Drops the outcomes that are older than the horizon.
+    /// Drops the outcomes that are older than the horizon. Their keys stay.
     void drop_old_outcomes(instant now);
 
     void set_horizon(duration horizon) { m_bounds.horizon = horizon; }
@@ -72,9 +74,9 @@
 
 private:
     bool evict_oldest(instant now);
-    void note_age(const digest& key, instant now);
+    void add_evictable(const digest& key, instant now);
 
-    struct aged
+    struct timed_key
     {
         digest key;
         instant at;
@@ -83,8 +85,8 @@
     bounds m_bounds;
     std::size_t m_body_bytes = 0;
     std::unordered_map<digest, record, digest_hash> m_records;
-    std::deque<aged> m_with_outcome; ///< By age, for dropping outcomes.
-    std::deque<aged> m_evictable;    ///< By age, for dropping keys.
+    std::deque<timed_key> m_keys_with_outcome; ///< Oldest first.
+    std::deque<timed_key> m_evictable_keys;    ///< Oldest first.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/generation_gate.hpp
+++ b/packages/decision/generation_gate.hpp
@@ -8,41 +8,42 @@
 namespace mangofold::decision
 {
 
-/// Decides which offered configurations a process takes in.
+/// Decides which offered configurations a process adopts, so that a stale
+/// source cannot revert a newer configuration.
 class generation_gate
 {
 public:
     enum class verdict
     {
-        adopt,    ///< Newer and good.
-        known,    ///< The one in force.
-        older,    ///< Older than the one in force.
-        conflict, ///< Another body under the generation in force.
-        refused   ///< This very body was found bad before.
+        adopt,    ///< Newer than the current configuration.
+        known,    ///< The current configuration.
+        older,    ///< Older than the current configuration.
+        conflict, ///< Current generation with a different body.
+        refused   ///< The same body failed validation before.
     };
 
     std::uint64_t generation() const { return m_generation; }
 
-    /// Returns what to do with the body \a body of \a generation.
+    /// Returns the verdict on a configuration \a body of \a generation.
     verdict judge(std::uint64_t generation, const digest& body) const;
 
-    /// Whether an offer of \a generation is worth fetching.
+    /// Whether a configuration of \a generation is worth fetching.
     bool is_wanted(std::uint64_t generation) const
     {
         return generation > m_generation;
     }
 
-    /// Notes that \a body is in force from now on.
+    /// Records \a body as the current configuration.
     void adopted(std::uint64_t generation, const digest& body);
 
-    /// Notes that \a body did not pass the checks. Returns whether that is
-    /// news.
+    /// Records that \a body failed validation. Returns whether \a body was
+    /// not recorded before.
     bool found_bad(const digest& body);
 
 private:
     std::uint64_t m_generation = 0;
-    digest m_body;
-    std::set<digest> m_bad;
+    digest m_current_body;
+    std::set<digest> m_rejected_bodies;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/grant_book.cpp
+++ b/packages/decision/grant_book.cpp
@@ -7,7 +7,7 @@
 
 grant_ref grant_book::issue(link_id link, instant now)
 {
-    auto& grants = m_issued[link];
+    auto& grants = m_grants_by_link[link];
     while (!grants.empty() && grants.front().expires <= now)
         grants.pop_front();
     const std::uint64_t serial = m_next_serial++;
@@ -15,23 +15,23 @@
     return {m_incarnation, serial};
 }
 
-// Without this check a submission that its entry gave up on, and that lay in
-// a socket buffer while this process or the entry was paused, would start
-// after the caller was told that nothing ran. The expiry is compared on the
-// clock that also wrote it, so no other clock has to be right.
+// Without this check, a submission that its entry abandoned and that waited in
+// a socket buffer while this process or the entry was paused would start after
+// the caller was told that nothing ran. Expiry is set and compared on the same
+// clock, so clocks need not be synchronized.
 bool grant_book::is_live(link_id link, const grant_ref& grant,
                          instant now) const
 {
     if (grant.incarnation != m_incarnation)
         return false;
-    const auto found = m_issued.find(link);
-    if (found == m_issued.end())
+    const auto found = m_grants_by_link.find(link);
+    if (found == m_grants_by_link.end())
         return false;
     const auto& grants = found->second;
     return std::any_of(grants.begin(), grants.end(),
-                       [&](const issued& one) {
-                           return one.serial == grant.serial &&
-                                  now < one.expires;
+                       [&](const issued_grant& candidate) {
+                           return candidate.serial == grant.serial &&
+                                  now < candidate.expires;
                        });
 }
 
--- a/packages/decision/grant_book.hpp
+++ b/packages/decision/grant_book.hpp
@@ -10,10 +10,10 @@
 namespace mangofold::decision
 {
 
-/// Numbers the stream of one entry within one sidecar process.
+/// Identifies the stream of one entry within one sidecar process.
 using link_id = std::uint64_t;
 
-/// Names a grant in a submission.
+/// Identifies a grant in a submission.
 struct grant_ref
 {
     std::uint64_t incarnation = 0;
@@ -22,8 +22,9 @@
     friend auto operator<=>(const grant_ref&, const grant_ref&) = default;
 };
 
-/// The permits of a sidecar to its entries, valid for a short time on the
-/// sidecar's own clock.
+/// Issues and checks the grants of a sidecar: short-lived permissions for an
+/// entry to submit work on its stream. Grants expire by the sidecar's clock, so
+/// a submission that was delayed in transit does not start.
 class grant_book
 {
 public:
@@ -38,17 +39,16 @@
     /// Returns a new grant for \a link.
     grant_ref issue(link_id link, instant now);
 
-    /// Whether \a grant was issued to \a link and has not lapsed.
+    /// Whether \a grant was issued to \a link and has not expired.
     bool is_live(link_id link, const grant_ref& grant, instant now) const;
 
-    /// Ends every grant of \a link.
-    void revoke(link_id link) { m_issued.erase(link); }
+    /// Revokes every grant of \a link.
+    void revoke(link_id link) { m_grants_by_link.erase(link); }
 
-    /// Ends every grant.
-    void revoke_all() { m_issued.clear(); }
+    void revoke_all() { m_grants_by_link.clear(); }
 
 private:
-    struct issued
+    struct issued_grant
     {
         std::uint64_t serial;
         instant expires;
@@ -57,7 +57,7 @@
     std::uint64_t m_incarnation;
     duration m_lifetime;
     std::uint64_t m_next_serial = 1;
-    std::unordered_map<link_id, std::deque<issued>> m_issued;
+    std::unordered_map<link_id, std::deque<issued_grant>> m_grants_by_link;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/owner_order.hpp
+++ b/packages/decision/owner_order.hpp
@@ -8,8 +8,9 @@
 namespace mangofold::decision
 {
 
-/// Returns \a targets in the order in which they own \a key, by rendezvous
-/// hashing over their published ids.
+/// Returns \a targets in the order in which they own \a key, first owner first.
+/// Uses rendezvous hashing over the target ids, so that entries and sidecars
+/// with the same list agree without communication.
 std::vector<std::string> owner_order(const digest& key,
                                      std::vector<std::string> targets);
 
--- a/packages/decision/ownership_history.cpp
+++ b/packages/decision/ownership_history.cpp
@@ -11,8 +11,9 @@
 namespace
 {
 
-// Bounds memory when lists change often; what is older is treated as moved.
-constexpr std::size_t max_epochs = 32;
+// Bounds memory when lists change often. While dropped lists may lie within
+// the horizon, every key counts as moved.
+constexpr std::size_t max_past_lists = 32;
 
 } // namespace
 
@@ -20,48 +21,49 @@
                                     instant now)
 {
     std::sort(targets.begin(), targets.end());
-    if (targets == m_targets)
+    if (targets == m_current_targets)
         return;
-    if (!m_targets.empty())
-        m_earlier.push_back({std::move(m_targets), now});
-    if (m_earlier.size() > max_epochs)
-        m_earlier.pop_front();
-    m_targets = std::move(targets);
+    if (!m_current_targets.empty())
+        m_past_lists.push_back({std::move(m_current_targets), now});
+    if (m_past_lists.size() > max_past_lists)
+        m_past_lists.pop_front();
+    m_current_targets = std::move(targets);
 }
 
 bool ownership_history::is_owner(
     const digest& key, const std::vector<std::string>& renounced_by) const
 {
-    return first_owner(key, m_targets, renounced_by) == m_self;
+    return first_owner(key, m_current_targets, renounced_by) == m_self;
 }
 
-// After a change of the list, the new owner of a key knows nothing of what
-// the old owner ran: a resend would book twice. Within the horizon, after
-// which no caller resends, such keys are not accepted here.
+// After a change of the list, the new owner of a key does not know what the
+// previous owner ran, so a resend could run twice. Such keys are refused until
+// the horizon has passed, after which no caller resends.
 bool ownership_history::has_moved(const digest& key,
                                   const std::vector<std::string>& renounced_by,
                                   instant now, duration horizon) const
 {
-    if (m_earlier.size() >= max_epochs &&
-        m_earlier.front().ended + horizon > now)
+    if (m_past_lists.size() >= max_past_lists &&
+        m_past_lists.front().ended + horizon > now)
         return true;
-    return std::any_of(m_earlier.begin(), m_earlier.end(),
-                       [&](const epoch& one)
+    return std::any_of(m_past_lists.begin(), m_past_lists.end(),
+                       [&](const past_list& past)
                        {
-                           return one.ended + horizon > now &&
-                                  first_owner(key, one.targets, renounced_by) !=
-                                      m_self;
+                           return past.ended + horizon > now &&
+                                  first_owner(key, past.targets,
+                                              renounced_by) != m_self;
                        });
 }
 
 std::string
 ownership_history::first_owner(const digest& key,
                                const std::vector<std::string>& targets,
-                               const std::vector<std::string>& without)
+                               const std::vector<std::string>& excluded)
 {
     for (std::string& target : owner_order(key, targets))
     {
-        if (std::find(without.begin(), without.end(), target) == without.end())
+        if (std::find(excluded.begin(), excluded.end(), target) ==
+            excluded.end())
             return std::move(target);
     }
     return {};
--- a/packages/decision/ownership_history.hpp
+++ b/packages/decision/ownership_history.hpp
@@ -10,29 +10,29 @@
 namespace mangofold::decision
 {
 
-/// The published target lists of one pool, so that a key which another
-/// target owned a short time ago is not run a second time here.
+/// Keeps the recent target lists of one pool, so that a target does not run a
+/// key that another target owned recently and may have run.
 class ownership_history
 {
 public:
     explicit ownership_history(std::string self) : m_self(std::move(self)) {}
 
-    /// Sets the list in force from \a now on.
+    /// Sets the list that applies from \a now on.
     void set_targets(std::vector<std::string> targets, instant now);
 
-    /// Whether this target owns \a key, counting every target in
-    /// \a renounced_by as not there.
+    /// Whether this target owns \a key, ignoring the targets in
+    /// \a renounced_by.
     bool is_owner(const digest& key,
                   const std::vector<std::string>& renounced_by) const;
 
-    /// Whether another target owned \a key within \a horizon, and has not
-    /// said that it did not run it.
+    /// Whether another target owned \a key within \a horizon before \a now,
+    /// ignoring the targets in \a renounced_by.
     bool has_moved(const digest& key,
                    const std::vector<std::string>& renounced_by, instant now,
                    duration horizon) const;
 
 private:
-    struct epoch
+    struct past_list
     {
         std::vector<std::string> targets;
         instant ended;
@@ -40,11 +40,11 @@
 
     static std::string first_owner(const digest& key,
                                    const std::vector<std::string>& targets,
-                                   const std::vector<std::string>& without);
+                                   const std::vector<std::string>& excluded);
 
     std::string m_self;
-    std::vector<std::string> m_targets;
-    std::deque<epoch> m_earlier;
+    std::vector<std::string> m_current_targets;
+    std::deque<past_list> m_past_lists;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/reason.hpp
+++ b/packages/decision/reason.hpp
@@ -7,11 +7,11 @@
 namespace mangofold::decision
 {
 
-/// Why a submission, or a whole request, did not end with an answer.
+/// The reason that a submission, or a whole request, has no answer.
 enum class reason : std::uint8_t
 {
     none,
-    // Said by a sidecar before anything ran.
+    // Given by a sidecar before it calls the target.
     grant_lapsed,
     generation_behind,
     generation_ahead,
@@ -23,18 +23,19 @@
     ticket_expired,
     not_ready,
     target_down,
-    // Said by a sidecar that cannot know whether an earlier sending ran.
+    // Given by a sidecar that cannot know whether an earlier submission of
+    // the request ran.
     owner_restarted,
     ownership_moved,
     incarnation_changed,
     ticket_of_other_incarnation,
     outcome_forgotten,
-    // Said by a sidecar after the target was called.
+    // Given by a sidecar after it called the target.
     target_failed,
     target_timeout,
     misdelivered,
     cancelled,
-    // Said by an entry.
+    // Given by an entry.
     link_lost,
     no_target,
     deadline_passed,
@@ -46,33 +47,33 @@
     unknown_pipeline,
     unknown_account,
     bad_request,
-    quarantined, ///< Targets ended under it, see quarantine.
+    quarantined, ///< Targets ended while running it, see quarantine.
     count
 };
 
 constexpr std::size_t reason_count = static_cast<std::size_t>(reason::count);
 
-/// Returns the name used in replies, metrics and logs.
+/// Returns the name of \a value in replies, metrics and logs.
 std::string_view to_string(reason value);
 
-/// Whether a sidecar, not an entry, gives \a value as a reason.
+/// Whether a sidecar, not an entry, reports \a value.
 constexpr bool is_said_by_sidecar(reason value)
 {
     return value < reason::link_lost;
 }
 
-/// How one stage, or one sending of it, ended.
+/// The outcome of a stage, or of one submission of a stage.
 enum class stage_status : std::uint8_t
 {
     done,    ///< The target answered.
-    refused, ///< Nothing ran, and nothing will.
-    failed,  ///< The target was called and did not answer well.
-    unknown  ///< Nobody who could know answered.
+    refused, ///< The submission did not run and never will.
+    failed,  ///< The target was called and returned no usable answer.
+    unknown  ///< The stage may or may not have run.
 };
 
 std::string_view to_string(stage_status value);
 
-/// Classes of work, most urgent first.
+/// Priority classes of work, most urgent first.
 enum class work_class : std::uint8_t
 {
     urgent,
--- a/packages/decision/request_key.hpp
+++ b/packages/decision/request_key.hpp
@@ -8,7 +8,7 @@
 namespace mangofold::decision
 {
 
-/// Names one stage of one request of one client account.
+/// Identifies one stage of one request of one client account.
 struct request_key
 {
     std::string account;
@@ -18,12 +18,12 @@
     friend auto operator<=>(const request_key&, const request_key&) = default;
 };
 
-/// Returns the digest under which a ledger knows \a key.
+/// Returns the digest by which ledgers and owner selection identify \a key.
 inline digest digest_of(const request_key& key)
 {
-    const digest owner = digest_of(key.account, key.request_id);
-    return digest_of(std::to_string(owner.high) + "/" +
-                         std::to_string(owner.low),
+    const digest request = digest_of(key.account, key.request_id);
+    return digest_of(std::to_string(request.high) + "/" +
+                         std::to_string(request.low),
                      key.stage);
 }
 
--- a/packages/decision/safeguards.hpp
+++ b/packages/decision/safeguards.hpp
@@ -5,8 +5,9 @@
 namespace mangofold::decision
 {
 
-/// Says which safeguards of a target's gate are in place. The product has
-/// all of them; tests take out one at a time to see the failure it prevents.
+/// Selects the safeguards that a target_gate applies. Production code applies
+/// all of them; tests disable one at a time to show the failure that the
+/// safeguard prevents.
 template<typename Set>
 concept safeguard_set = requires
 {
--- a/packages/decision/stage_result.hpp
+++ b/packages/decision/stage_result.hpp
@@ -9,26 +9,26 @@
 namespace mangofold::decision
 {
 
-/// What a sidecar says of one submission.
+/// The outcome of one submission, as a sidecar reports it.
 struct stage_result
 {
     stage_status status = stage_status::unknown;
     reason why = reason::none;
     std::string body;
-    duration service{};     ///< Time that the target spent.
-    duration retry_after{}; ///< Zero where coming back is of no use.
+    duration service{};     ///< Time that the target took.
+    duration retry_after{}; ///< Zero if a retry cannot help.
     bool is_replayed = false;
 
     friend bool operator==(const stage_result&, const stage_result&) = default;
 };
 
-/// Returns a refusal before anything ran.
+/// Returns the result of a submission that did not run and never will.
 inline stage_result refused(reason why, duration retry_after = {})
 {
     return {stage_status::refused, why, {}, {}, retry_after, false};
 }
 
-/// Returns a refusal that leaves open whether an earlier sending ran.
+/// Returns the result of a submission whose request may already have run.
 inline stage_result unknown_outcome(reason why, duration retry_after = {})
 {
     return {stage_status::unknown, why, {}, {}, retry_after, false};
--- a/packages/decision/submission.hpp
+++ b/packages/decision/submission.hpp
@@ -16,7 +16,7 @@
 namespace mangofold::decision
 {
 
-/// Names one submission on one stream.
+/// Identifies one submission on one stream.
 struct submission_ref
 {
     link_id link = 0;
@@ -26,7 +26,7 @@
                             const submission_ref&) = default;
 };
 
-/// One attempt at one stage, as an entry hands it to a sidecar.
+/// One attempt at one stage, as an entry sends it to a sidecar.
 struct submission
 {
     submission_ref ref;
@@ -37,12 +37,14 @@
     std::uint32_t weight = 1;
     grant_ref grant;
     std::uint64_t generation = 0;
-    duration budget{}; ///< What is left of the caller's deadline.
+    duration budget{}; ///< Time left until the caller's deadline.
     std::string model;
     std::string body;
-    digest request; ///< Digest of the caller's whole request.
-    std::uint64_t pinned_incarnation = 0; ///< 0 where any will do.
+    digest request;                       ///< Of the caller's whole request.
+    std::uint64_t pinned_incarnation = 0; ///< 0 accepts any process.
+    /// Proves that the request is not older than the ticket.
     std::optional<ticket> dated_by;
+    /// Targets that reported that they will never run the request.
     std::vector<std::string> renounced_by;
 
     friend bool operator==(const submission&, const submission&) = default;
--- a/packages/decision/target_gate.hpp
+++ b/packages/decision/target_gate.hpp
@@ -34,7 +34,7 @@
     std::string model;
     std::string body;
     duration budget{};
-    digest request; ///< Of what its caller sent.
+    digest request; ///< Of the caller's whole request.
 
     friend bool operator==(const start_run&, const start_run&) = default;
 };
@@ -50,7 +50,7 @@
     friend bool operator==(const send_result&, const send_result&) = default;
 };
 
-/// Effect: tell the target that nobody waits for a run any more.
+/// Effect: tell the target that no entry waits for the run any more.
 struct cancel_run
 {
     run_id run = 0;
@@ -61,25 +61,27 @@
 using gate_effect = std::variant<start_run, send_result, cancel_run>;
 using gate_effects = std::vector<gate_effect>;
 
-/// What a sidecar takes from the configuration for its own target.
+/// The part of the configuration that applies to one target.
 struct gate_configuration
 {
     std::uint64_t generation = 0;
     std::vector<std::string> pool_targets;
     std::size_t slots = 1;
     class_shares shares;
-    /// From the first sending of a request to the latest start of any.
+    /// Longest time from the first sending of a request to the start of a
+    /// run of the same request.
     duration horizon{};
-    /// In which every process takes a new manifest over.
+    /// Time within which every process adopts a new manifest.
     duration adoption{};
 
     friend bool operator==(const gate_configuration&,
                            const gate_configuration&) = default;
 };
 
-/// Everything that a sidecar decides about the work of its target. It reads
-/// no clock and does no input or output: calls return the effects to carry
-/// out, in order.
+/// Admission control of a sidecar in front of its target: decides which
+/// submissions run, wait, are refused or are answered from the ledger, so that
+/// a non-repeatable stage runs at most once. Reads no clock and does no I/O:
+/// calls return the effects to apply, in order.
 template<concurrency_policy Limit, safeguard_set Safeguards = all_safeguards>
 class target_gate
 {
@@ -100,39 +102,44 @@
 
     target_gate(identity self, bounds limits);
 
-    /// Puts a configuration in force. One that is not newer is ignored.
+    /// Applies a configuration. Ignores \a value if its generation is not
+    /// newer.
     gate_effects set_configuration(const gate_configuration& value,
                                    instant now);
 
     std::uint64_t generation() const { return m_configuration.generation; }
     std::uint64_t incarnation() const { return m_self.incarnation; }
 
-    /// Returns a grant for \a link, or nothing where no work is wanted.
+    /// Returns a grant for \a link, or nothing if the target is leaving or not
+    /// configured.
     std::optional<grant_ref> issue_grant(link_id link, instant now);
 
-    /// Returns a ticket, or nothing where none may be minted.
+    /// Returns a ticket, or nothing if the target is leaving or not
+    /// configured.
     std::optional<ticket> mint_ticket(instant now);
 
-    /// Takes a submission in.
+    /// Admits, answers or refuses \a work.
     gate_effects submit(const submission& work, instant now);
 
-    /// Withdraws a submission of which the entry no longer waits.
+    /// Withdraws a submission for which the entry no longer waits.
     gate_effects cancel(const submission_ref& ref, instant now);
 
-    /// Withdraws all submissions of a stream that ended.
+    /// Withdraws all submissions of a stream that ended and revokes its
+    /// grants.
     gate_effects close_link(link_id link, instant now);
 
-    /// Takes the end of a run in.
+    /// Handles the end of a run.
     gate_effects finish(run_id run, const stage_result& result, instant now);
 
-    /// Lets time pass: queued work whose time is over is refused.
+    /// Refuses queued work whose deadline has passed, and drops stored
+    /// outcomes that are older than the horizon.
     gate_effects advance(instant now);
 
-    /// Stops new work for good.
+    /// Stops new work permanently.
     gate_effects set_stopping(instant now);
 
-    /// Stops new work until \a until, because the platform calls the target
-    /// leaving.
+    /// Stops new work until \a until, because the platform lists the target
+    /// as leaving.
     gate_effects set_leaving(instant now, instant until);
 
     /// Whether new work is stopped.
@@ -141,7 +148,7 @@
         return m_is_stopping || now < m_leaving_until;
     }
 
-    /// Whether neither running nor queued work is left.
+    /// Whether no work is running or queued.
     bool is_idle() const { return m_runs.empty(); }
 
     target_load load() const;
@@ -154,7 +161,7 @@
         std::uint32_t attempt;
     };
 
-    struct run
+    struct accepted_run
     {
         submission work;
         digest key;
@@ -166,15 +173,15 @@
 
     using optional_result = std::optional<stage_result>;
 
-    optional_result refuse_other_process(const submission& work) const;
-    optional_result refuse_generation(const submission& work) const;
-    optional_result refuse_grant(const submission& work, const digest& key,
-                                 instant now);
-    optional_result refuse_unsafe(const submission& work, const digest& key,
-                                  instant now);
-    optional_result refuse_dated(const submission& work, instant now) const;
-    optional_result refuse_undated(const submission& work, const digest& key,
-                                   instant now) const;
+    optional_result check_incarnation(const submission& work) const;
+    optional_result check_generation(const submission& work) const;
+    optional_result check_grant(const submission& work, const digest& key,
+                                instant now);
+    optional_result check_at_most_once(const submission& work,
+                                       const digest& key, instant now);
+    optional_result check_ticket(const submission& work, instant now) const;
+    optional_result check_without_ticket(const submission& work,
+                                         const digest& key, instant now) const;
     bool answer_from_ledger(const submission& work, const digest& key,
                             gate_effects& effects);
     void admit(const submission& work, const digest& key, instant now,
@@ -183,12 +190,12 @@
     gate_effects stop_new_work(instant now);
     void refuse_queued(const std::vector<queued_work>& queued, reason why,
                        instant now, gate_effects& effects);
-    void send(const run& from, const stage_result& result,
-              gate_effects& effects) const;
-    void drop_waiter(run_id id, const submission_ref& ref,
-                     gate_effects& effects);
-    duration expected_service(work_class priority) const;
-    duration come_back_after(work_class priority) const;
+    void send_to_waiters(const accepted_run& run, const stage_result& result,
+                         gate_effects& effects) const;
+    void remove_waiter(run_id id, const submission_ref& ref,
+                       gate_effects& effects);
+    duration expected_service_time(work_class priority) const;
+    duration retry_delay(work_class priority) const;
 
     static void reply(const submission& work, const stage_result& result,
                       gate_effects& effects)
@@ -203,13 +210,13 @@
     grant_book m_grants;
     ticket_book m_tickets;
     execution_ledger m_ledger;
-    ownership_history m_owners;
+    ownership_history m_ownership;
     admission_queue m_queue{class_shares{}};
-    std::map<run_id, run> m_runs;
+    std::map<run_id, accepted_run> m_runs;
     run_id m_next_run = 1;
     bool m_is_stopping = false;
     instant m_leaving_until{};
-    std::array<duration, work_class_count> m_service{};
+    std::array<duration, work_class_count> m_mean_service_times{};
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/target_gate.ipp
+++ b/packages/decision/target_gate.ipp
@@ -12,7 +12,7 @@
     : m_self(std::move(self)),
       m_grants(m_self.incarnation, limits.grant_lifetime),
       m_ledger({{}, limits.max_ledger_keys, limits.max_ledger_bytes}),
-      m_owners(m_self.target)
+      m_ownership(m_self.target)
 {
 }
 
@@ -26,7 +26,7 @@
     m_limit.set_slots(value.slots);
     m_queue.set_shares(value.shares);
     m_ledger.set_horizon(value.horizon);
-    m_owners.set_targets(value.pool_targets, now);
+    m_ownership.set_targets(value.pool_targets, now);
     return advance(now);
 }
 
@@ -47,26 +47,26 @@
     return ticket{m_self.target, m_self.incarnation, m_tickets.mint(now)};
 }
 
-// The order matters: the clock first, so that a process that wakes late sees
-// its own grants lapse before it reads what piled up; then whether this is
-// the process that the work is meant for, since only that one may say "not
-// run"; then what the ledger knows; then the other refusals.
+// The order matters. Time first, so that a process that resumes after a pause
+// finds its grants expired before it reads the buffered submissions. Then the
+// incarnation, since only the process that the work was sent to can report
+// that it did not run. Then the ledger, then the other refusals.
 template<concurrency_policy Limit, safeguard_set Safeguards>
 gate_effects target_gate<Limit, Safeguards>::submit(const submission& work,
                                                     instant now)
 {
     gate_effects effects = advance(now);
     const digest key = digest_of(work.key);
-    optional_result refusal = refuse_other_process(work);
+    optional_result refusal = check_incarnation(work);
     if (!refusal && !work.is_repeatable &&
         answer_from_ledger(work, key, effects))
         return effects;
     if (!refusal)
-        refusal = refuse_generation(work);
+        refusal = check_generation(work);
     if (!refusal && !work.is_repeatable)
-        refusal = refuse_unsafe(work, key, now);
+        refusal = check_at_most_once(work, key, now);
     if (!refusal)
-        refusal = refuse_grant(work, key, now);
+        refusal = check_grant(work, key, now);
     if (refusal)
     {
         reply(work, *refusal, effects);
@@ -83,38 +83,37 @@
 {
     if (!Safeguards::has_ledger)
         return false;
-    const execution_ledger::record* known = m_ledger.find(key);
-    if (known == nullptr)
+    const execution_ledger::record* stored = m_ledger.find(key);
+    if (stored == nullptr)
         return false;
-    if (known->status == execution_ledger::state::renounced)
+    if (stored->status == execution_ledger::state::renounced)
     {
         reply(work, refused(reason::target_leaving), effects);
         return true;
     }
-    if (known->request != work.request)
+    if (stored->request != work.request)
     {
         reply(work, unknown_outcome(reason::request_reused), effects);
         return true;
     }
-    if (known->status == execution_ledger::state::forgotten)
+    if (stored->status == execution_ledger::state::forgotten)
     {
         reply(work, unknown_outcome(reason::outcome_forgotten), effects);
         return true;
     }
-    if (known->status == execution_ledger::state::ended)
+    if (stored->status == execution_ledger::state::ended)
     {
-        stage_result replayed = known->outcome;
+        stage_result replayed = stored->outcome;
         replayed.is_replayed = true;
         reply(work, replayed, effects);
         return true;
     }
-    const auto open = std::find_if(m_runs.begin(), m_runs.end(),
-                                   [&](const auto& one) {
-                                       return !one.second.work.is_repeatable &&
-                                              one.second.key == key;
-                                   });
-    if (open != m_runs.end())
-        open->second.waiters.push_back({work.ref, work.attempt});
+    const auto running = std::find_if(
+        m_runs.begin(), m_runs.end(),
+        [&](const auto& item)
+        { return !item.second.work.is_repeatable && item.second.key == key; });
+    if (running != m_runs.end())
+        running->second.waiters.push_back({work.ref, work.attempt});
     return true;
 }
 
@@ -134,10 +133,9 @@
     return stop_new_work(now);
 }
 
-// The platform's list lags: it can still call a target leaving whose
-// instance was replaced in the meantime. The mark therefore ends by itself
-// unless it is repeated; the replacement would otherwise refuse work for
-// ever.
+// The platform's list lags and can still show a target as leaving after its
+// instance was replaced. The leaving state therefore expires unless it is
+// renewed; otherwise the replacement would refuse work forever.
 template<concurrency_policy Limit, safeguard_set Safeguards>
 gate_effects target_gate<Limit, Safeguards>::set_leaving(instant now,
                                                          instant until)
@@ -166,25 +164,28 @@
     for (const queued_work& work : queued)
     {
         const auto found = m_runs.find(work.id);
-        const run& one = found->second;
-        if (!one.work.is_repeatable)
+        const accepted_run& queued_run = found->second;
+        if (!queued_run.work.is_repeatable)
         {
-            m_ledger.withdraw(one.key);
+            m_ledger.withdraw(queued_run.key);
             if (why == reason::target_leaving)
-                m_ledger.renounce(one.key, now);
+                m_ledger.renounce(queued_run.key, now);
         }
-        send(one, refused(why, come_back_after(one.work.priority)), effects);
+        send_to_waiters(queued_run,
+                        refused(why, retry_delay(queued_run.work.priority)),
+                        effects);
         m_runs.erase(found);
     }
 }
 
 template<concurrency_policy Limit, safeguard_set Safeguards>
-void target_gate<Limit, Safeguards>::send(const run& from,
-                                          const stage_result& result,
-                                          gate_effects& effects) const
+void target_gate<Limit, Safeguards>::send_to_waiters(
+    const accepted_run& run, const stage_result& result,
+    gate_effects& effects) const
 {
-    for (const waiter& w : from.waiters)
-        effects.push_back(send_result{w.ref, from.work.key, w.attempt, result});
+    for (const waiter& waiting : run.waiters)
+        effects.push_back(
+            send_result{waiting.ref, run.work.key, waiting.attempt, result});
 }
 
 template<concurrency_policy Limit, safeguard_set Safeguards>
@@ -193,38 +194,39 @@
     target_load value;
     value.running = static_cast<std::uint32_t>(m_queue.running());
     value.limit = static_cast<std::uint32_t>(m_limit.limit());
-    duration::rep known = 0;
+    duration::rep measured_classes = 0;
     for (std::size_t index = 0; index < work_class_count; ++index)
     {
         const auto priority = static_cast<work_class>(index);
         value.queued[index] =
             static_cast<std::uint32_t>(m_queue.size(priority));
         value.expected[index] =
-            m_service[index] +
-            m_queue.expected_wait(priority, m_limit.limit(), m_service[index]);
-        value.service += m_service[index];
-        known += m_service[index] != duration::zero() ? 1 : 0;
+            m_mean_service_times[index] +
+            m_queue.expected_wait(priority, m_limit.limit(),
+                                  m_mean_service_times[index]);
+        value.service += m_mean_service_times[index];
+        measured_classes +=
+            m_mean_service_times[index] != duration::zero() ? 1 : 0;
     }
-    if (known > 0)
-        value.service /= known;
+    if (measured_classes > 0)
+        value.service /= measured_classes;
     return value;
 }
 
 template<concurrency_policy Limit, safeguard_set Safeguards>
 duration
-target_gate<Limit, Safeguards>::expected_service(work_class priority) const
+target_gate<Limit, Safeguards>::expected_service_time(work_class priority) const
 {
-    return m_service[static_cast<std::size_t>(priority)];
+    return m_mean_service_times[static_cast<std::size_t>(priority)];
 }
 
 template<concurrency_policy Limit, safeguard_set Safeguards>
-duration
-target_gate<Limit, Safeguards>::come_back_after(work_class priority) const
+duration target_gate<Limit, Safeguards>::retry_delay(work_class priority) const
 {
-    constexpr duration shortest = std::chrono::milliseconds(100);
-    return std::max(shortest,
+    constexpr duration min_delay = std::chrono::milliseconds(100);
+    return std::max(min_delay,
                     m_queue.expected_wait(priority, m_limit.limit(),
-                                          expected_service(priority)));
+                                          expected_service_time(priority)));
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/target_gate_runs.ipp
+++ b/packages/decision/target_gate_runs.ipp
@@ -1,4 +1,4 @@
-// How the gate queues, starts and ends runs. Included by target_gate.hpp.
+// Queueing, start and end of runs in target_gate. Included by target_gate.hpp.
 #pragma once
 
 namespace mangofold::decision
@@ -14,16 +14,17 @@
     const queued_work queued{id, work.priority, work.key.account, work.weight,
                              expires};
     const reason why = m_queue.push(queued, now, m_limit.limit(),
-                                    expected_service(work.priority));
+                                    expected_service_time(work.priority));
     if (why != reason::none)
     {
-        reply(work, refused(why, come_back_after(work.priority)), effects);
+        reply(work, refused(why, retry_delay(work.priority)), effects);
         return;
     }
     if (!work.is_repeatable)
         m_ledger.open(key, work.request, now);
     m_runs.emplace(
-        id, run{work, key, expires, {}, false, {{work.ref, work.attempt}}});
+        id, accepted_run{
+                work, key, expires, {}, false, {{work.ref, work.attempt}}});
     start_runs(now, effects);
 }
 
@@ -33,14 +34,14 @@
 {
     while (auto next = m_queue.pop(now, m_limit.limit()))
     {
-        run& one = m_runs.at(next->id);
-        one.is_started = true;
-        one.started = now;
+        accepted_run& run = m_runs.at(next->id);
+        run.is_started = true;
+        run.started = now;
         m_queue.run_started(next->priority);
-        effects.push_back(start_run{next->id, one.work.key, one.work.attempt,
-                                    one.work.is_repeatable, next->priority,
-                                    one.work.model, std::move(one.work.body),
-                                    one.expires - now, one.work.request});
+        effects.push_back(start_run{next->id, run.work.key, run.work.attempt,
+                                    run.work.is_repeatable, next->priority,
+                                    run.work.model, std::move(run.work.body),
+                                    run.expires - now, run.work.request});
     }
 }
 
@@ -53,27 +54,27 @@
     const auto found = m_runs.find(id);
     if (found == m_runs.end())
         return effects;
-    const run& one = found->second;
-    const work_class priority = one.work.priority;
+    const accepted_run& run = found->second;
+    const work_class priority = run.work.priority;
     m_queue.run_ended(priority);
-    const bool is_good = result.status == stage_status::done;
-    m_limit.run_ended(now - one.started, m_queue.running(), is_good);
-    if (is_good)
+    const bool is_success = result.status == stage_status::done;
+    m_limit.run_ended(now - run.started, m_queue.running(), is_success);
+    if (is_success)
     {
-        duration& average = m_service[static_cast<std::size_t>(priority)];
-        const duration measured = now - one.started;
-        average = average == duration::zero()
-                      ? measured
-                      : average + (measured - average) / 8;
+        duration& mean =
+            m_mean_service_times[static_cast<std::size_t>(priority)];
+        const duration measured = now - run.started;
+        mean =
+            mean == duration::zero() ? measured : mean + (measured - mean) / 8;
     }
-    if (!one.work.is_repeatable)
+    if (!run.work.is_repeatable)
     {
         if (result.status == stage_status::refused)
-            m_ledger.withdraw(one.key);
+            m_ledger.withdraw(run.key);
         else
-            m_ledger.end(one.key, result, now);
+            m_ledger.end(run.key, result, now);
     }
-    send(one, result, effects);
+    send_to_waiters(run, result, effects);
     m_runs.erase(found);
     start_runs(now, effects);
     return effects;
@@ -84,12 +85,13 @@
                                                     instant now)
 {
     gate_effects effects = advance(now);
-    for (auto& [id, one] : m_runs)
+    for (auto& [id, run] : m_runs)
     {
-        const auto is_it = [&](const waiter& w) { return w.ref == ref; };
-        if (std::any_of(one.waiters.begin(), one.waiters.end(), is_it))
+        const auto is_match = [&](const waiter& waiting)
+        { return waiting.ref == ref; };
+        if (std::any_of(run.waiters.begin(), run.waiters.end(), is_match))
         {
-            drop_waiter(id, ref, effects);
+            remove_waiter(id, ref, effects);
             break;
         }
     }
@@ -103,40 +105,41 @@
 {
     m_grants.revoke(link);
     gate_effects effects = advance(now);
-    std::vector<std::pair<run_id, submission_ref>> left;
-    for (const auto& [id, one] : m_runs)
-        for (const waiter& w : one.waiters)
-            if (w.ref.link == link)
-                left.emplace_back(id, w.ref);
-    for (const auto& [id, ref] : left)
-        drop_waiter(id, ref, effects);
+    std::vector<std::pair<run_id, submission_ref>> abandoned;
+    for (const auto& [id, run] : m_runs)
+        for (const waiter& waiting : run.waiters)
+            if (waiting.ref.link == link)
+                abandoned.emplace_back(id, waiting.ref);
+    for (const auto& [id, ref] : abandoned)
+        remove_waiter(id, ref, effects);
     start_runs(now, effects);
     return effects;
 }
 
 template<concurrency_policy Limit, safeguard_set Safeguards>
-void target_gate<Limit, Safeguards>::drop_waiter(run_id id,
-                                                 const submission_ref& ref,
-                                                 gate_effects& effects)
+void target_gate<Limit, Safeguards>::remove_waiter(run_id id,
+                                                   const submission_ref& ref,
+                                                   gate_effects& effects)
 {
     const auto found = m_runs.find(id);
     if (found == m_runs.end())
         return;
-    run& one = found->second;
-    std::erase_if(one.waiters, [&](const waiter& w) { return w.ref == ref; });
-    if (!one.waiters.empty())
+    accepted_run& run = found->second;
+    std::erase_if(run.waiters,
+                  [&](const waiter& waiting) { return waiting.ref == ref; });
+    if (!run.waiters.empty())
         return;
-    if (one.is_started)
+    if (run.is_started)
     {
-        // A run that may not be repeated ends and is remembered: a resend
-        // then gets its outcome.
-        if (one.work.is_repeatable)
+        // A non-repeatable run is not cancelled: a resend gets the stored
+        // outcome.
+        if (run.work.is_repeatable)
             effects.push_back(cancel_run{id});
         return;
     }
     m_queue.remove(id);
-    if (!one.work.is_repeatable)
-        m_ledger.withdraw(one.key);
+    if (!run.work.is_repeatable)
+        m_ledger.withdraw(run.key);
     m_runs.erase(found);
 }
 
--- a/packages/decision/ticket_book.cpp
+++ b/packages/decision/ticket_book.cpp
@@ -6,17 +6,18 @@
 namespace
 {
 
-constexpr duration mark_interval = std::chrono::seconds(1);
-constexpr std::size_t max_marks = 3600;
+constexpr duration checkpoint_interval = std::chrono::seconds(1);
+constexpr std::size_t max_checkpoints = 3600;
 
 } // namespace
 
 std::uint64_t ticket_book::mint(instant now)
 {
-    if (m_marks.empty() || m_marks.back().at + mark_interval <= now)
-        m_marks.push_back({m_next_serial, now});
-    if (m_marks.size() > max_marks)
-        m_marks.pop_front();
+    if (m_checkpoints.empty() ||
+        m_checkpoints.back().at + checkpoint_interval <= now)
+        m_checkpoints.push_back({m_next_serial, now});
+    if (m_checkpoints.size() > max_checkpoints)
+        m_checkpoints.pop_front();
     return m_next_serial++;
 }
 
@@ -25,10 +26,11 @@
 {
     if (serial >= m_next_serial)
         return false;
-    for (auto one = m_marks.rbegin(); one != m_marks.rend(); ++one)
+    for (auto candidate = m_checkpoints.rbegin();
+         candidate != m_checkpoints.rend(); ++candidate)
     {
-        if (one->first_serial <= serial)
-            return now < one->at + horizon;
+        if (candidate->first_serial <= serial)
+            return now < candidate->at + horizon;
     }
     return false;
 }
--- a/packages/decision/ticket_book.hpp
+++ b/packages/decision/ticket_book.hpp
@@ -10,7 +10,8 @@
 namespace mangofold::decision
 {
 
-/// Dates a request against one process of one target.
+/// Bounds the age of a request: issued by one process of one target before
+/// the request is first sent.
 struct ticket
 {
     std::string target;
@@ -20,26 +21,27 @@
     friend auto operator<=>(const ticket&, const ticket&) = default;
 };
 
-/// Mints tickets and says which are young enough that the ledger still knows
-/// every key that ran under them. Needs no memory for a single ticket.
+/// Issues tickets and checks their age. While a ticket is younger than the
+/// horizon, the ledger still holds every key that ran with the ticket. Stores
+/// issue times at intervals instead of one for each ticket.
 class ticket_book
 {
 public:
-    /// Returns the serial of a new ticket.
+    /// Returns the serial number of a new ticket.
     std::uint64_t mint(instant now);
 
-    /// Whether \a serial was minted here less than \a horizon ago.
+    /// Whether \a serial was issued here less than \a horizon ago.
     bool is_young(std::uint64_t serial, instant now, duration horizon) const;
 
 private:
-    struct mark
+    struct checkpoint
     {
         std::uint64_t first_serial;
         instant at;
     };
 
     std::uint64_t m_next_serial = 1;
-    std::deque<mark> m_marks; ///< One for each second with a ticket.
+    std::deque<checkpoint> m_checkpoints; ///< At most one a second.
 };
 
 } // namespace mangofold::decision
