--- a/packages/configuration/config_store.cpp
+++ b/packages/configuration/config_store.cpp
@@ -52,8 +52,8 @@
         snapshot{std::move(parsed), std::move(body)});
     {
         const std::lock_guard lock(m_mutex);
-        m_gate.adopted(fresh->document.generation,
-                       decision::digest_of(fresh->body));
+        m_gate.set_current(fresh->document.generation,
+                           decision::digest_of(fresh->body));
         m_current = fresh;
     }
     runtime::event("configuration_in_force")
@@ -76,7 +76,7 @@
     verdict found{};
     {
         const std::lock_guard lock(m_mutex);
-        found = m_gate.judge(parsed.generation, decision::digest_of(body));
+        found = m_gate.evaluate(parsed.generation, decision::digest_of(body));
     }
     ++m_metrics.count(
         {"mangofold_configurations_offered_total",
@@ -95,7 +95,7 @@
     bool is_new = false;
     {
         const std::lock_guard lock(m_mutex);
-        is_new = m_gate.found_bad(decision::digest_of(body));
+        is_new = m_gate.add_rejected(decision::digest_of(body));
     }
     ++m_metrics.count({"mangofold_configurations_offered_total",
                        runtime::label("verdict", "bad") + "," +
--- a/packages/decision/execution_ledger.cpp
+++ b/packages/decision/execution_ledger.cpp
@@ -9,9 +9,9 @@
     return found == m_records.end() ? nullptr : &found->second;
 }
 
-bool execution_ledger::has_room(instant now)
+bool execution_ledger::make_room(instant now)
 {
-    drop_old_outcomes(now);
+    drop_expired_outcomes(now);
     while (m_records.size() >= m_bounds.max_keys)
     {
         // Evicting a key within the horizon would let a resend run again.
@@ -22,14 +22,14 @@
     return m_body_bytes < m_bounds.max_body_bytes;
 }
 
-void execution_ledger::open(const digest& key, const digest& request,
-                            instant now)
+void execution_ledger::add(const digest& key, const digest& request_digest,
+                           instant now)
 {
-    m_records[key] = record{state::open, request, now, {}};
+    m_records[key] = record{state::in_progress, request_digest, now, {}};
 }
 
-void execution_ledger::end(const digest& key, const stage_result& outcome,
-                           instant now)
+void execution_ledger::set_outcome(const digest& key,
+                                   const stage_result& outcome, instant now)
 {
     record& stored = m_records[key];
     stored.status = state::ended;
@@ -47,7 +47,7 @@
     add_evictable(key, now);
 }
 
-void execution_ledger::drop_old_outcomes(instant now)
+void execution_ledger::drop_expired_outcomes(instant now)
 {
     while (!m_keys_with_outcome.empty() &&
            m_keys_with_outcome.front().at + m_bounds.horizon <= now)
--- a/packages/decision/execution_ledger.hpp
+++ b/packages/decision/execution_ledger.hpp
@@ -20,10 +20,10 @@
 public:
     enum class state : std::uint8_t
     {
-        open,      ///< Accepted and not ended.
-        ended,     ///< Ended, the outcome is stored.
-        forgotten, ///< Ended, the outcome is no longer stored.
-        renounced  ///< Did not run and never will in this process.
+        in_progress, ///< Accepted and not ended.
+        ended,       ///< Ended, the outcome is stored.
+        forgotten,   ///< Ended, the outcome is no longer stored.
+        renounced    ///< Did not run and never will in this process.
     };
 
     struct bounds
@@ -37,8 +37,8 @@
 
     struct record
     {
-        state status = state::open;
-        digest request; ///< Digest of the caller's request.
+        state status = state::in_progress;
+        digest request_digest; ///< Digest of the caller's request.
         instant
             since{}; ///< When it was accepted or renounced, or when it ended.
         stage_result outcome;
@@ -50,22 +50,23 @@
     const record* find(const digest& key) const;
 
     /// Whether another key fits. Evicts keys that are old enough first.
-    bool has_room(instant now);
+    bool make_room(instant now);
 
     /// Records that \a key was accepted.
-    void open(const digest& key, const digest& request, instant now);
+    void add(const digest& key, const digest& request_digest, instant now);
 
     /// Records the outcome of \a key.
-    void end(const digest& key, const stage_result& outcome, instant now);
+    void set_outcome(const digest& key, const stage_result& outcome,
+                     instant now);
 
     /// Removes \a key, which was accepted but never ran.
-    void withdraw(const digest& key) { m_records.erase(key); }
+    void remove(const digest& key) { m_records.erase(key); }
 
     /// Records that this process will never run \a key.
     void renounce(const digest& key, instant now);
 
     /// Drops the outcomes that are older than the horizon. Their keys stay.
-    void drop_old_outcomes(instant now);
+    void drop_expired_outcomes(instant now);
 
     void set_horizon(duration horizon) { m_bounds.horizon = horizon; }
 
--- a/packages/decision/generation_gate.cpp
+++ b/packages/decision/generation_gate.cpp
@@ -13,8 +13,8 @@
 // A stale service, or a peer that was partitioned, offers an outdated
 // configuration. Adopting it would revert an accepted change, so only a higher
 // generation is adopted, whichever source offers it.
-generation_gate::verdict generation_gate::judge(std::uint64_t generation,
-                                                const digest& body) const
+generation_gate::verdict generation_gate::evaluate(std::uint64_t generation,
+                                                   const digest& body) const
 {
     if (generation < m_generation)
         return verdict::older;
@@ -25,14 +25,14 @@
     return verdict::adopt;
 }
 
-void generation_gate::adopted(std::uint64_t generation, const digest& body)
+void generation_gate::set_current(std::uint64_t generation, const digest& body)
 {
     m_generation = generation;
     m_current_body = body;
     m_rejected_bodies.clear();
 }
 
-bool generation_gate::found_bad(const digest& body)
+bool generation_gate::add_rejected(const digest& body)
 {
     if (m_rejected_bodies.size() >= max_rejected_bodies)
         m_rejected_bodies.clear();
--- a/packages/decision/generation_gate.hpp
+++ b/packages/decision/generation_gate.hpp
@@ -25,20 +25,20 @@
     std::uint64_t generation() const { return m_generation; }
 
     /// Returns the verdict on a configuration \a body of \a generation.
-    verdict judge(std::uint64_t generation, const digest& body) const;
+    verdict evaluate(std::uint64_t generation, const digest& body) const;
 
     /// Whether a configuration of \a generation is worth fetching.
-    bool is_wanted(std::uint64_t generation) const
+    bool is_newer(std::uint64_t generation) const
     {
         return generation > m_generation;
     }
 
     /// Records \a body as the current configuration.
-    void adopted(std::uint64_t generation, const digest& body);
+    void set_current(std::uint64_t generation, const digest& body);
 
     /// Records that \a body failed validation. Returns whether \a body was
     /// not recorded before.
-    bool found_bad(const digest& body);
+    bool add_rejected(const digest& body);
 
 private:
     std::uint64_t m_generation = 0;
--- a/packages/decision/grant_book.hpp
+++ b/packages/decision/grant_table.hpp
@@ -25,10 +25,10 @@
 /// Issues and checks the grants of a sidecar: short-lived permissions for an
 /// entry to submit work on its stream. Grants expire by the sidecar's clock, so
 /// a submission that was delayed in transit does not start.
-class grant_book
+class grant_table
 {
 public:
-    grant_book(std::uint64_t incarnation, duration lifetime)
+    grant_table(std::uint64_t incarnation, duration lifetime)
         : m_incarnation(incarnation), m_lifetime(lifetime)
     {
     }
@@ -40,12 +40,12 @@
     grant_ref issue(link_id link, instant now);
 
     /// Whether \a grant was issued to \a link and has not expired.
-    bool is_live(link_id link, const grant_ref& grant, instant now) const;
+    bool is_valid(link_id link, const grant_ref& grant, instant now) const;
 
     /// Revokes every grant of \a link.
-    void revoke(link_id link) { m_grants_by_link.erase(link); }
+    void revoke(link_id link) { m_issued.erase(link); }
 
-    void revoke_all() { m_grants_by_link.clear(); }
+    void revoke_all() { m_issued.clear(); }
 
 private:
     struct issued_grant
@@ -57,7 +57,7 @@
     std::uint64_t m_incarnation;
     duration m_lifetime;
     std::uint64_t m_next_serial = 1;
-    std::unordered_map<link_id, std::deque<issued_grant>> m_grants_by_link;
+    std::unordered_map<link_id, std::deque<issued_grant>> m_issued;
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/owned_run.cpp
+++ b/packages/decision/owned_run.cpp
@@ -30,7 +30,7 @@
     if (!m_ticket_target && m_owner >= m_owners.size())
         return give_up(reason::no_target);
     if (m_resyncs >= m_policy.max_resyncs && m_pinned == 0)
-        return give_up(m_last ? m_last->why : reason::no_target);
+        return give_up(m_last ? m_last->cause : reason::no_target);
     if (now < m_not_before)
         return wait_until{std::min(m_not_before, m_deadline)};
     ++m_attempt;
@@ -76,12 +76,12 @@
     }
     // The very process that got it says that nothing ran.
     m_pinned = 0;
-    if (is_out_of_step(result.why))
+    if (is_out_of_step(result.cause))
     {
         retry_after(m_policy.resync_wait, now);
         return true;
     }
-    if (result.why == reason::target_leaving)
+    if (result.cause == reason::target_leaving)
     {
         m_renounced_by.push_back(owner());
         if (m_ticket_target)
--- a/packages/decision/ownership_history.cpp
+++ b/packages/decision/ownership_history.cpp
@@ -39,9 +39,9 @@
 // After a change of the list, the new owner of a key does not know what the
 // previous owner ran, so a resend could run twice. Such keys are refused until
 // the horizon has passed, after which no caller resends.
-bool ownership_history::has_moved(const digest& key,
-                                  const std::vector<std::string>& renounced_by,
-                                  instant now, duration horizon) const
+bool ownership_history::had_other_owner(
+    const digest& key, const std::vector<std::string>& renounced_by,
+    instant now, duration horizon) const
 {
     if (m_past_lists.size() >= max_past_lists &&
         m_past_lists.front().ended + horizon > now)
--- a/packages/decision/ownership_history.hpp
+++ b/packages/decision/ownership_history.hpp
@@ -27,9 +27,9 @@
 
     /// Whether another target owned \a key within \a horizon before \a now,
     /// ignoring the targets in \a renounced_by.
-    bool has_moved(const digest& key,
-                   const std::vector<std::string>& renounced_by, instant now,
-                   duration horizon) const;
+    bool had_other_owner(const digest& key,
+                         const std::vector<std::string>& renounced_by,
+                         instant now, duration horizon) const;
 
 private:
     struct past_list
--- a/packages/decision/pool_router.ipp
+++ b/packages/decision/pool_router.ipp
@@ -151,11 +151,11 @@
                    view.in_flight.at(static_cast<std::size_t>(priority));
                count -= count > 0 ? 1 : 0;
                view.is_probing = false;
-               if (result.why == reason::target_leaving)
+               if (result.cause == reason::target_leaving)
                    view.is_leaving = true;
                const bool has_failed = result.status == stage_status::failed ||
                                        result.status == stage_status::unknown ||
-                                       result.why == reason::target_down;
+                                       result.cause == reason::target_down;
                if (has_failed)
                    note_failure(view, now);
                else if (result.status == stage_status::done)
--- a/packages/decision/reason.hpp
+++ b/packages/decision/reason.hpp
@@ -57,7 +57,7 @@
 std::string_view to_string(reason value);
 
 /// Whether a sidecar, not an entry, reports \a value.
-constexpr bool is_said_by_sidecar(reason value)
+constexpr bool is_reported_by_sidecar(reason value)
 {
     return value < reason::link_lost;
 }
--- a/packages/decision/repeatable_run.cpp
+++ b/packages/decision/repeatable_run.cpp
@@ -33,10 +33,10 @@
         m_not_before = now;
     }
     if (m_ran >= m_policy.max_attempts)
-        return give_up(m_last->why);
+        return give_up(m_last->cause);
     if (m_busy >= m_policy.max_busy_refusals ||
         m_resyncs >= m_policy.max_resyncs)
-        return give_up(m_last->why);
+        return give_up(m_last->cause);
     if (now < m_not_before)
         return wait_until{std::min(m_not_before, m_deadline)};
     return send(budget);
@@ -80,7 +80,7 @@
         m_answer = result;
         return true;
     }
-    if (is_out_of_step(result.why))
+    if (is_out_of_step(result.cause))
     {
         ++m_resyncs;
         m_not_before = now + m_policy.resync_wait;
@@ -89,8 +89,8 @@
     m_avoid.push_back(m_target);
     if (result.status == stage_status::refused)
     {
-        const bool is_busy =
-            result.why == reason::queue_full || result.why == reason::too_late;
+        const bool is_busy = result.cause == reason::queue_full ||
+                             result.cause == reason::too_late;
         m_busy += is_busy ? 1 : 0;
         m_resyncs += is_busy ? 0 : 1;
         return true;
--- a/packages/decision/safeguards.hpp
+++ b/packages/decision/safeguards.hpp
@@ -18,19 +18,19 @@
         Set::has_ledger
         } -> std::convertible_to<bool>;
     {
-        Set::has_quarantine
+        Set::has_restart_quarantine
         } -> std::convertible_to<bool>;
     {
-        Set::has_moved_ownership
+        Set::has_ownership_check
         } -> std::convertible_to<bool>;
     {
-        Set::has_incarnation
+        Set::has_incarnation_check
         } -> std::convertible_to<bool>;
     {
-        Set::has_generations
+        Set::has_generation_check
         } -> std::convertible_to<bool>;
     {
-        Set::has_leaving
+        Set::has_leaving_refusal
         } -> std::convertible_to<bool>;
     {
         Set::has_renouncing
@@ -41,11 +41,11 @@
 {
     static constexpr bool has_grants = true;
     static constexpr bool has_ledger = true;
-    static constexpr bool has_quarantine = true;
-    static constexpr bool has_moved_ownership = true;
-    static constexpr bool has_incarnation = true;
-    static constexpr bool has_generations = true;
-    static constexpr bool has_leaving = true;
+    static constexpr bool has_restart_quarantine = true;
+    static constexpr bool has_ownership_check = true;
+    static constexpr bool has_incarnation_check = true;
+    static constexpr bool has_generation_check = true;
+    static constexpr bool has_leaving_refusal = true;
     static constexpr bool has_renouncing = true;
 };
 
--- a/packages/decision/stage_result.hpp
+++ b/packages/decision/stage_result.hpp
@@ -13,10 +13,10 @@
 struct stage_result
 {
     stage_status status = stage_status::unknown;
-    reason why = reason::none;
+    reason cause = reason::none;
     std::string body;
-    duration service{};     ///< Time that the target took.
-    duration retry_after{}; ///< Zero if a retry cannot help.
+    duration service_time{}; ///< Time that the target took.
+    duration retry_after{};  ///< Zero if a retry cannot help.
     bool is_replayed = false;
 
     friend bool operator==(const stage_result&, const stage_result&) = default;
--- a/packages/decision/submission.hpp
+++ b/packages/decision/submission.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "decision/digest.hpp"
-#include "decision/grant_book.hpp"
+#include "decision/grant_table.hpp"
 #include "decision/reason.hpp"
 #include "decision/request_key.hpp"
-#include "decision/ticket_book.hpp"
+#include "decision/ticket_issuer.hpp"
 #include "decision/time.hpp"
 
 #include <compare>
@@ -40,10 +40,10 @@
     duration budget{}; ///< Time left until the caller's deadline.
     std::string model;
     std::string body;
-    digest request;                       ///< Of the caller's whole request.
+    digest request_digest;                ///< Of the caller's whole request.
     std::uint64_t pinned_incarnation = 0; ///< 0 accepts any process.
     /// Proves that the request is not older than the ticket.
-    std::optional<ticket> dated_by;
+    std::optional<ticket> presented_ticket;
     /// Targets that reported that they will never run the request.
     std::vector<std::string> renounced_by;
 
--- a/packages/decision/target_gate.hpp
+++ b/packages/decision/target_gate.hpp
@@ -3,13 +3,13 @@
 #include "decision/admission_queue.hpp"
 #include "decision/concurrency_limit.hpp"
 #include "decision/execution_ledger.hpp"
-#include "decision/grant_book.hpp"
+#include "decision/grant_table.hpp"
 #include "decision/ownership_history.hpp"
 #include "decision/safeguards.hpp"
 #include "decision/stage_result.hpp"
 #include "decision/submission.hpp"
 #include "decision/target_load.hpp"
-#include "decision/ticket_book.hpp"
+#include "decision/ticket_issuer.hpp"
 
 #include <array>
 #include <map>
@@ -34,7 +34,7 @@
     std::string model;
     std::string body;
     duration budget{};
-    digest request; ///< Of the caller's whole request.
+    digest request_digest; ///< Of the caller's whole request.
 
     friend bool operator==(const start_run&, const start_run&) = default;
 };
@@ -70,9 +70,9 @@
     class_shares shares;
     /// Longest time from the first sending of a request to the start of a
     /// run of the same request.
-    duration horizon{};
+    duration start_horizon{};
     /// Time within which every process adopts a new manifest.
-    duration adoption{};
+    duration adoption_bound{};
 
     friend bool operator==(const gate_configuration&,
                            const gate_configuration&) = default;
@@ -207,8 +207,8 @@
     identity m_self;
     gate_configuration m_configuration;
     Limit m_limit{1};
-    grant_book m_grants;
-    ticket_book m_tickets;
+    grant_table m_grants;
+    ticket_issuer m_tickets;
     execution_ledger m_ledger;
     ownership_history m_ownership;
     admission_queue m_queue{class_shares{}};
--- a/packages/decision/target_gate.ipp
+++ b/packages/decision/target_gate.ipp
@@ -25,7 +25,7 @@
     m_configuration = value;
     m_limit.set_slots(value.slots);
     m_queue.set_shares(value.shares);
-    m_ledger.set_horizon(value.horizon);
+    m_ledger.set_horizon(value.start_horizon);
     m_ownership.set_targets(value.pool_targets, now);
     return advance(now);
 }
@@ -91,7 +91,7 @@
         reply(work, refused(reason::target_leaving), effects);
         return true;
     }
-    if (stored->request != work.request)
+    if (stored->request_digest != work.request_digest)
     {
         reply(work, unknown_outcome(reason::request_reused), effects);
         return true;
@@ -121,7 +121,7 @@
 gate_effects target_gate<Limit, Safeguards>::advance(instant now)
 {
     gate_effects effects;
-    m_ledger.drop_old_outcomes(now);
+    m_ledger.drop_expired_outcomes(now);
     refuse_queued(m_queue.take_expired(now), reason::too_late, now, effects);
     return effects;
 }
@@ -149,7 +149,7 @@
 gate_effects target_gate<Limit, Safeguards>::stop_new_work(instant now)
 {
     gate_effects effects;
-    if (!Safeguards::has_leaving)
+    if (!Safeguards::has_leaving_refusal)
         return effects;
     m_grants.revoke_all();
     refuse_queued(m_queue.take_all(), reason::target_leaving, now, effects);
@@ -167,7 +167,7 @@
         const accepted_run& queued_run = found->second;
         if (!queued_run.work.is_repeatable)
         {
-            m_ledger.withdraw(queued_run.key);
+            m_ledger.remove(queued_run.key);
             if (why == reason::target_leaving)
                 m_ledger.renounce(queued_run.key, now);
         }
--- a/packages/decision/target_gate_runs.ipp
+++ b/packages/decision/target_gate_runs.ipp
@@ -21,7 +21,7 @@
         return;
     }
     if (!work.is_repeatable)
-        m_ledger.open(key, work.request, now);
+        m_ledger.add(key, work.request_digest, now);
     m_runs.emplace(
         id, accepted_run{
                 work, key, expires, {}, false, {{work.ref, work.attempt}}});
@@ -38,10 +38,10 @@
         run.is_started = true;
         run.started = now;
         m_queue.run_started(next->priority);
-        effects.push_back(start_run{next->id, run.work.key, run.work.attempt,
-                                    run.work.is_repeatable, next->priority,
-                                    run.work.model, std::move(run.work.body),
-                                    run.expires - now, run.work.request});
+        effects.push_back(start_run{
+            next->id, run.work.key, run.work.attempt, run.work.is_repeatable,
+            next->priority, run.work.model, std::move(run.work.body),
+            run.expires - now, run.work.request_digest});
     }
 }
 
@@ -70,9 +70,9 @@
     if (!run.work.is_repeatable)
     {
         if (result.status == stage_status::refused)
-            m_ledger.withdraw(run.key);
+            m_ledger.remove(run.key);
         else
-            m_ledger.end(run.key, result, now);
+            m_ledger.set_outcome(run.key, result, now);
     }
     send_to_waiters(run, result, effects);
     m_runs.erase(found);
@@ -139,7 +139,7 @@
     }
     m_queue.remove(id);
     if (!run.work.is_repeatable)
-        m_ledger.withdraw(run.key);
+        m_ledger.remove(run.key);
     m_runs.erase(found);
 }
 
--- a/packages/decision/ticket_book.hpp
+++ b/packages/decision/ticket_issuer.hpp
@@ -24,24 +24,26 @@
 /// Issues tickets and checks their age. While a ticket is younger than the
 /// horizon, the ledger still holds every key that ran with the ticket. Stores
 /// issue times at intervals instead of one for each ticket.
-class ticket_book
+class ticket_issuer
 {
 public:
     /// Returns the serial number of a new ticket.
     std::uint64_t mint(instant now);
 
-    /// Whether \a serial was issued here less than \a horizon ago.
-    bool is_young(std::uint64_t serial, instant now, duration horizon) const;
+    /// Whether \a serial was issued here less than \a horizon ago. The age is
+    /// rounded up by at most a second.
+    bool is_recent(std::uint64_t serial, instant now, duration horizon) const;
 
 private:
-    struct checkpoint
+    /// The first serial that was issued at or after a time.
+    struct mark
     {
         std::uint64_t first_serial;
         instant at;
     };
 
     std::uint64_t m_next_serial = 1;
-    std::deque<checkpoint> m_checkpoints; ///< At most one a second.
+    std::deque<mark> m_marks; ///< At most one a second.
 };
 
 } // namespace mangofold::decision
--- a/packages/entry/mailbox.hpp
+++ b/packages/entry/mailbox.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decision/stage_result.hpp"
-#include "decision/ticket_book.hpp"
+#include "decision/ticket_issuer.hpp"
 
 #include <condition_variable>
 #include <cstdint>
--- a/packages/entry/pipeline_runner.cpp
+++ b/packages/entry/pipeline_runner.cpp
@@ -80,12 +80,12 @@
                                const stage_result& result)
 {
     outcome& ended = state.result;
-    ended.why = result.why;
+    ended.why = result.cause;
     ended.stage = stage.id;
     ended.retry_after = result.retry_after;
-    const bool is_over = result.why == reason::deadline_passed;
+    const bool is_over = result.cause == reason::deadline_passed;
     const bool is_owners_word =
-        !stage.is_repeatable && is_said_by_sidecar(result.why);
+        !stage.is_repeatable && is_reported_by_sidecar(result.cause);
     const bool is_refused = result.status == stage_status::refused;
     if (is_refused && !state.has_run &&
         (is_owners_word || state.pipeline.is_repeatable()))
@@ -190,7 +190,7 @@
         if (!result)
             continue;
         out.reset();
-        cost.service += result->service;
+        cost.service += result->service_time;
         if (result->status == stage_status::done)
             m_timing.add(timed, m_clock.now() - sent_at);
     }
@@ -221,7 +221,7 @@
         {
             submission work = submission_for(state, stage, *send);
             if (send->uses_ticket)
-                work.dated_by = ticket->value;
+                work.presented_ticket = ticket->value;
             const auto out =
                 m_sidecars.submit(send->target, std::move(work), state.replies);
             if (!out)
@@ -236,7 +236,7 @@
         const auto result = next_result(state, stage, attempts,
                                         std::get<wait_until>(step).until);
         if (result && !result->is_replayed)
-            cost.service += result->service;
+            cost.service += result->service_time;
     }
 }
 
@@ -269,7 +269,7 @@
         return std::nullopt;
     }
     if (came->result.status != stage_status::done)
-        count_retry(stage, came->result.why);
+        count_retry(stage, came->result.cause);
     return came->result;
 }
 
@@ -287,7 +287,7 @@
     work.weight = account != nullptr ? account->weight : 1;
     work.budget = std::max(state.deadline - m_clock.now(), duration::zero());
     work.model = stage.model;
-    work.request = content_digest(state.asked);
+    work.request_digest = content_digest(state.asked);
     work.pinned_incarnation = step.pinned_incarnation;
     work.renounced_by = step.renounced_by;
     work.body = "{\"request\":";
--- a/packages/entry/request.hpp
+++ b/packages/entry/request.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decision/digest.hpp"
-#include "decision/ticket_book.hpp"
+#include "decision/ticket_issuer.hpp"
 #include "decision/time.hpp"
 
 #include <optional>
--- a/packages/sidecar/gate_keeper.cpp
+++ b/packages/sidecar/gate_keeper.cpp
@@ -53,8 +53,8 @@
             part.pool_targets.push_back(one.id);
         part.slots = pool.slots;
         part.shares = pool.shares;
-        part.horizon = document.start_horizon();
-        part.adoption = manifest::adoption_bound;
+        part.start_horizon = document.start_horizon();
+        part.adoption_bound = manifest::adoption_bound;
         const std::lock_guard lock(m_mutex);
         carry_out(m_gate.set_configuration(part, m_clock.now()));
         return;
@@ -121,7 +121,7 @@
         m_target_ended_at = now;
     }
     const target_start target{m_target, m_gate.incarnation() + m_target_ends};
-    const digest content = stage_content(run.key, run.request);
+    const digest content = stage_content(run.key, run.request_digest);
     runtime::event("run_lost")
         .with("request", run.key.request_id)
         .with("stage", run.key.stage)
@@ -210,7 +210,7 @@
     ++m_metrics.count(
         {"mangofold_submissions_total",
          runtime::label("status", to_string(result.status)) + "," +
-             runtime::label("reason", to_string(result.why)) + "," +
+             runtime::label("reason", to_string(result.cause)) + "," +
              runtime::label("replayed", result.is_replayed ? "yes" : "no")});
 }
 
--- a/packages/sidecar/target_caller.cpp
+++ b/packages/sidecar/target_caller.cpp
@@ -100,7 +100,7 @@
     }
     m_metrics.observe({"mangofold_target_seconds",
                        runtime::label("stage", timed.run.key.stage)},
-                      result.service);
+                      result.service_time);
     m_keeper.finish(timed.run.run, result);
 }
 
@@ -138,10 +138,10 @@
         else
             result = unknown_outcome(is_timeout ? reason::target_timeout
                                                 : reason::target_failed);
-        if (result.why == reason::target_failed)
+        if (result.cause == reason::target_failed)
             m_keeper.note_target_lost(run, begun);
     }
-    result.service = m_clock.now() - begun;
+    result.service_time = m_clock.now() - begun;
     return result;
 }
 
--- a/packages/wire/convert.cpp
+++ b/packages/wire/convert.cpp
@@ -96,10 +96,10 @@
     message.set_weight(work.weight);
     message.set_model(work.model);
     message.set_body(work.body);
-    message.set_request_digest(to_bytes(work.request));
+    message.set_request_digest(to_bytes(work.request_digest));
     message.set_pinned_incarnation(work.pinned_incarnation);
-    if (work.dated_by)
-        to_wire(*work.dated_by, *message.mutable_ticket());
+    if (work.presented_ticket)
+        to_wire(*work.presented_ticket, *message.mutable_ticket());
     for (const std::string& target : work.renounced_by)
         message.add_renounced_by(target);
 }
@@ -122,12 +122,12 @@
     work.budget = std::chrono::milliseconds(message.budget_ms());
     work.model = message.model();
     work.body = message.body();
-    work.request = from_bytes(message.request_digest());
+    work.request_digest = from_bytes(message.request_digest());
     work.pinned_incarnation = message.pinned_incarnation();
     if (message.has_ticket())
-        work.dated_by = decision::ticket{message.ticket().target_id(),
-                                         message.ticket().incarnation(),
-                                         message.ticket().serial()};
+        work.presented_ticket = decision::ticket{message.ticket().target_id(),
+                                                 message.ticket().incarnation(),
+                                                 message.ticket().serial()};
     work.renounced_by.assign(message.renounced_by().begin(),
                              message.renounced_by().end());
     return work;
@@ -136,9 +136,9 @@
 void to_wire(const decision::stage_result& result, Result& message)
 {
     message.set_status(static_cast<std::uint32_t>(result.status));
-    message.set_reason(static_cast<std::uint32_t>(result.why));
+    message.set_reason(static_cast<std::uint32_t>(result.cause));
     message.set_retry_after_ms(to_ms(result.retry_after));
-    message.set_service_us(to_us(result.service));
+    message.set_service_us(to_us(result.service_time));
     message.set_body(result.body);
     message.set_replayed(result.is_replayed);
 }
@@ -149,9 +149,9 @@
     if (is_known(message.status(), decision::stage_status::unknown))
         result.status = static_cast<decision::stage_status>(message.status());
     if (message.reason() < decision::reason_count)
-        result.why = static_cast<decision::reason>(message.reason());
+        result.cause = static_cast<decision::reason>(message.reason());
     result.body = message.body();
-    result.service = std::chrono::microseconds(message.service_us());
+    result.service_time = std::chrono::microseconds(message.service_us());
     result.retry_after = std::chrono::milliseconds(message.retry_after_ms());
     result.is_replayed = message.replayed();
     return result;
--- a/tests/decision/runs_test.cpp
+++ b/tests/decision/runs_test.cpp
@@ -63,7 +63,7 @@
         run.ended(first, bad, instant{});
         const auto result = result_of(run.next(instant{1s}, budget, 1h));
         CHECK(result.status == stage_status::failed);
-        CHECK(result.why == reason::retry_budget_spent);
+        CHECK(result.cause == reason::retry_budget_spent);
     }
 
     TEST_CASE("refusals alone end as refused, with the time to come back")
@@ -151,13 +151,13 @@
     {
         using verdict = generation_gate::verdict;
         generation_gate gate;
-        gate.adopted(5, digest_of("five"));
-        CHECK(gate.judge(4, digest_of("four")) == verdict::older);
-        CHECK(gate.judge(5, digest_of("five")) == verdict::known);
-        CHECK(gate.judge(5, digest_of("other")) == verdict::conflict);
-        CHECK(gate.judge(6, digest_of("six")) == verdict::adopt);
-        CHECK(gate.found_bad(digest_of("seven")));
-        CHECK(gate.judge(7, digest_of("seven")) == verdict::refused);
+        gate.set_current(5, digest_of("five"));
+        CHECK(gate.evaluate(4, digest_of("four")) == verdict::older);
+        CHECK(gate.evaluate(5, digest_of("five")) == verdict::known);
+        CHECK(gate.evaluate(5, digest_of("other")) == verdict::conflict);
+        CHECK(gate.evaluate(6, digest_of("six")) == verdict::adopt);
+        CHECK(gate.add_rejected(digest_of("seven")));
+        CHECK(gate.evaluate(7, digest_of("seven")) == verdict::refused);
     }
 }
 
--- a/tests/decision/target_gate_test.cpp
+++ b/tests/decision/target_gate_test.cpp
@@ -40,7 +40,7 @@
         const auto runs = all_of<start_run>(f.submit(f.work("r1")));
         f.decisions.finish(runs.at(0).run, answer("\"ok\""), f.now);
         submission other = f.work("r1");
-        other.request = digest_of("something else");
+        other.request_digest = digest_of("something else");
         CHECK(reason_in(f.submit(other)) == reason::request_reused);
     }
 
@@ -101,11 +101,11 @@
                                 instant{1h});
         submission dated = f.work("r1");
         dated.grant = *fresh.issue_grant(1, instant{1h});
-        dated.dated_by = fresh.mint_ticket(instant{1h});
+        dated.presented_ticket = fresh.mint_ticket(instant{1h});
         CHECK(all_of<start_run>(fresh.submit(dated, instant{1h})).size() == 1);
         submission stale = f.work("r2");
         stale.grant = dated.grant;
-        stale.dated_by = ticket{"booking-1", 11, 1};
+        stale.presented_ticket = ticket{"booking-1", 11, 1};
         CHECK(reason_in(fresh.submit(stale, instant{1h})) ==
               reason::ticket_of_other_incarnation);
     }
@@ -115,7 +115,7 @@
     {
         gate_fixture<> f;
         submission dated = f.work("r1");
-        dated.dated_by = f.decisions.mint_ticket(f.now);
+        dated.presented_ticket = f.decisions.mint_ticket(f.now);
         f.now += 11s;
         dated.grant = *f.decisions.issue_grant(1, f.now);
         CHECK(reason_in(f.submit(dated)) == reason::ticket_expired);
@@ -135,7 +135,7 @@
         const auto results = all_of<send_result>(f.submit(again));
         REQUIRE(results.size() == 1);
         CHECK(results[0].result.status == stage_status::unknown);
-        CHECK(results[0].result.why == reason::incarnation_changed);
+        CHECK(results[0].result.cause == reason::incarnation_changed);
     }
 
     TEST_CASE("a renounced request is not refused to a sending of before")
--- a/tests/promises/main.cpp
+++ b/tests/promises/main.cpp
@@ -187,11 +187,11 @@
 
     is_good &= must_break<without_grants>("grants", bounds);
     is_good &= must_break<without_ledger>("ledger", bounds);
-    is_good &= must_break<without_quarantine>("quarantine", bounds);
-    is_good &= must_break<without_moved_ownership>("moved ownership", bounds);
-    is_good &= must_break<without_incarnation>("incarnation", bounds);
-    is_good &= must_break<without_generations>("generations", bounds);
-    is_good &= must_break<without_leaving>("leaving", bounds);
+    is_good &= must_break<without_restart_quarantine>("quarantine", bounds);
+    is_good &= must_break<without_ownership_check>("moved ownership", bounds);
+    is_good &= must_break<without_incarnation_check>("incarnation", bounds);
+    is_good &= must_break<without_generation_check>("generations", bounds);
+    is_good &= must_break<without_leaving_refusal>("leaving", bounds);
     is_good &= must_break<without_renouncing>("renouncing", bounds);
     return is_good ? 0 : 1;
 }
--- a/tests/promises/mutations.hpp
+++ b/tests/promises/mutations.hpp
@@ -19,29 +19,29 @@
     static constexpr bool has_ledger = false;
 };
 
-struct without_quarantine : all_safeguards
+struct without_restart_quarantine : all_safeguards
 {
-    static constexpr bool has_quarantine = false;
+    static constexpr bool has_restart_quarantine = false;
 };
 
-struct without_moved_ownership : all_safeguards
+struct without_ownership_check : all_safeguards
 {
-    static constexpr bool has_moved_ownership = false;
+    static constexpr bool has_ownership_check = false;
 };
 
-struct without_incarnation : all_safeguards
+struct without_incarnation_check : all_safeguards
 {
-    static constexpr bool has_incarnation = false;
+    static constexpr bool has_incarnation_check = false;
 };
 
-struct without_generations : all_safeguards
+struct without_generation_check : all_safeguards
 {
-    static constexpr bool has_generations = false;
+    static constexpr bool has_generation_check = false;
 };
 
-struct without_leaving : all_safeguards
+struct without_leaving_refusal : all_safeguards
 {
-    static constexpr bool has_leaving = false;
+    static constexpr bool has_leaving_refusal = false;
 };
 
 struct without_renouncing : all_safeguards
--- a/tests/promises/world.cpp
+++ b/tests/promises/world.cpp
@@ -103,7 +103,7 @@
         for (unsigned target = 0; target < target_count; ++target)
         {
             if (target_name(target) == owners.front())
-                asked.dated_by =
+                asked.presented_ticket =
                     m_processes[m_current[target]].decisions->mint_ticket(
                         m_now);
         }
@@ -111,12 +111,12 @@
     if (!asked.first_sent)
         asked.first_sent = m_now;
     std::optional<std::string> ticket_target;
-    if (asked.dated_by)
-        ticket_target = asked.dated_by->target;
+    if (asked.presented_ticket)
+        ticket_target = asked.presented_ticket->target;
     m_sendings.push_back(
         {request, entry,
          owned_run(attempt_policy{}, m_now + deadline, owners, ticket_target),
-         asked.dated_by, false, false, m_now + deadline});
+         asked.presented_ticket, false, false, m_now + deadline});
     act(static_cast<unsigned>(m_sendings.size() - 1));
 }
 
@@ -163,12 +163,12 @@
     work.generation = m_entries[one.entry].generation;
     work.budget = one.latest - m_now;
     work.body = std::to_string(index);
-    work.request = digest_of(request_name(one.request));
+    work.request_digest = digest_of(request_name(one.request));
     work.pinned_incarnation = step.pinned_incarnation != 0
                                   ? step.pinned_incarnation
                                   : through.grant->incarnation;
     if (step.uses_ticket)
-        work.dated_by = one.dated_by;
+        work.presented_ticket = one.presented_ticket;
     work.renounced_by = step.renounced_by;
     m_outstanding[work.ref] = index;
     through.to_sidecar.push_back({std::nullopt, work});
@@ -452,8 +452,8 @@
     value.pool_targets = members(generation);
     value.slots = 1;
     value.shares = {0, 0, 1};
-    value.horizon = start_horizon;
-    value.adoption = adoption_time;
+    value.start_horizon = start_horizon;
+    value.adoption_bound = adoption_time;
     return value;
 }
 
@@ -503,14 +503,15 @@
 template std::optional<std::string> run_moves<without_grants>(const history&);
 template std::optional<std::string> run_moves<without_ledger>(const history&);
 template std::optional<std::string>
-run_moves<without_quarantine>(const history&);
+run_moves<without_restart_quarantine>(const history&);
 template std::optional<std::string>
-run_moves<without_moved_ownership>(const history&);
+run_moves<without_ownership_check>(const history&);
 template std::optional<std::string>
-run_moves<without_incarnation>(const history&);
+run_moves<without_incarnation_check>(const history&);
 template std::optional<std::string>
-run_moves<without_generations>(const history&);
-template std::optional<std::string> run_moves<without_leaving>(const history&);
+run_moves<without_generation_check>(const history&);
+template std::optional<std::string>
+run_moves<without_leaving_refusal>(const history&);
 template std::optional<std::string>
 run_moves<without_renouncing>(const history&);
 
--- a/tests/promises/world.hpp
+++ b/tests/promises/world.hpp
@@ -122,7 +122,7 @@
         unsigned request = 0;
         unsigned entry = 0;
         owned_run run;
-        std::optional<ticket> dated_by;
+        std::optional<ticket> presented_ticket;
         bool has_ended = false;
         bool was_refused = false;
         instant latest{};
@@ -137,7 +137,7 @@
     struct caller_request
     {
         std::optional<instant> first_sent;
-        std::optional<ticket> dated_by;
+        std::optional<ticket> presented_ticket;
     };
 
     void send(unsigned request, unsigned entry);
--- a/tests/support/gate_fixture.hpp
+++ b/tests/support/gate_fixture.hpp
@@ -46,8 +46,8 @@
         value.pool_targets = std::move(targets);
         value.slots = slots;
         value.shares = {0, 0, queued};
-        value.horizon = 10s;
-        value.adoption = 16s;
+        value.start_horizon = 10s;
+        value.adoption_bound = 16s;
         return decisions.set_configuration(value, now);
     }
 
@@ -62,7 +62,7 @@
         value.generation = decisions.generation();
         value.budget = 2s;
         value.body = "{}";
-        value.request = digest_of(id);
+        value.request_digest = digest_of(id);
         return value;
     }
 
@@ -88,7 +88,7 @@
     const auto results = all_of<send_result>(effects);
     if (results.size() != 1)
         return std::nullopt;
-    return results.front().result.why;
+    return results.front().result.cause;
 }
 
 inline stage_result answer(const std::string& body)
