--- a/packages/decision/ownership_history.hpp
+++ b/packages/decision/ownership_history.hpp
@@ -25,8 +25,8 @@
     bool is_owner(const digest& key,
                   const std::vector<std::string>& renounced_by) const;
 
-    /// Whether another target owned \a key within \a horizon before \a now,
-    /// ignoring the targets in \a renounced_by.
+    /// Whether another target, or none, owned \a key within \a horizon before
+    /// \a now, ignoring the targets in \a renounced_by.
     bool had_other_owner(const digest& key,
                          const std::vector<std::string>& renounced_by,
                          instant now, duration horizon) const;
--- a/tests/decision/execution_ledger_test.cpp
+++ b/tests/decision/execution_ledger_test.cpp
@@ -17,7 +17,7 @@
 
 TEST_SUITE("execution ledger")
 {
-    TEST_CASE("forgets the outcome after the horizon, not that it ran")
+    TEST_CASE("drops outcomes older than the horizon but keeps their keys")
     {
         execution_ledger ledger({10s, 10, 1024});
         ledger.add(key, {}, instant{});
@@ -29,7 +29,7 @@
         CHECK(ledger.body_bytes() == 0);
     }
 
-    TEST_CASE("drops a key only where it is full and the key is old")
+    TEST_CASE("evicts a key only if the ledger is full and the key is old")
     {
         execution_ledger ledger({10s, 1, 1024});
         ledger.add(key, {}, instant{});
@@ -40,7 +40,7 @@
         CHECK(ledger.find(key) == nullptr);
     }
 
-    TEST_CASE("is full when its outcomes take the bytes they may take")
+    TEST_CASE("is full when outcomes reach the byte limit")
     {
         execution_ledger ledger({10s, 10, 4});
         ledger.add(key, {}, instant{});
@@ -52,11 +52,11 @@
 
 TEST_SUITE("recent requests")
 {
-    TEST_CASE("a refused resend of a begun request is not called not run")
+    TEST_CASE("a refused resend of a started request may have run")
     {
-        // The first sending runs in part; its caller loses patience and
-        // sends again. That sending is refused for lack of time. "Not run"
-        // would be false: stages of the request ran.
+        // The first sending runs in part, then the caller resends. The
+        // resend is refused for lack of time, but must not be reported as
+        // "not run", because stages of the request ran.
         recent_requests recent(2);
         recent.note(key, instant{}, 10s);
         CHECK(recent.may_have_begun(key, instant{9s}));
@@ -64,7 +64,7 @@
         CHECK_FALSE(recent.may_have_begun(key, instant{10s}));
     }
 
-    TEST_CASE("what had to be dropped early counts as begun")
+    TEST_CASE("an early dropped request counts as started")
     {
         recent_requests recent(1);
         recent.note(key, instant{}, 10s);
--- a/tests/promises/main.cpp
+++ b/tests/promises/main.cpp
@@ -1,5 +1,6 @@
-// Searches random histories for a broken promise: none may be found with all
-// safeguards, and one must be found without each of them.
+// Searches random histories for a violated guarantee. With all safeguards no
+// violation may be found; with any single safeguard disabled, a violation must
+// be found.
 //
 //   test_promises [SEED [HISTORIES]]
 
@@ -18,77 +19,78 @@
 using mangofold::promises::command;
 using mangofold::promises::history;
 
-/// What a history is mostly made of. With one mixture for all, what needs
-/// several rare moves in order is hardly ever tried.
-enum class focus
+/// The mixture of commands in a history. A single mixture for all histories
+/// would rarely produce failures that need several rare commands in order.
+enum class command_mix
 {
     anything,
-    moved_owners, ///< Manifests change while requests are sent again.
-    leaving,      ///< Targets are called leaving, and come back later.
-    restarts      ///< Processes die or wake late while messages wait.
+    moved_owners, ///< Manifests change while requests are resent.
+    leaving,      ///< Targets are listed as leaving and return later.
+    restarts      ///< Processes die or resume late while messages wait.
 };
 
-inline Gen<command::kind> kinds_of(focus about)
+inline Gen<command::kind> command_types(command_mix mix)
 {
     using kind = command::kind;
-    // Faults are rarer than progress, or no history gets anywhere.
-    switch (about)
+    // Faults are rarer than progress, since histories would otherwise reach
+    // few states.
+    switch (mix)
     {
-    case focus::moved_owners:
+    case command_mix::moved_owners:
         return gen::weightedElement<kind>({{6, kind::send},
-                                           {2, kind::act},
-                                           {14, kind::deliver},
-                                           {3, kind::answer},
-                                           {1, kind::finish},
+                                           {2, kind::resume},
+                                           {14, kind::deliver_to_sidecar},
+                                           {3, kind::deliver_to_entry},
+                                           {1, kind::finish_run},
                                            {1, kind::advance},
                                            {1, kind::break_link},
                                            {6, kind::adopt},
                                            {2, kind::publish}});
-    case focus::leaving:
+    case command_mix::leaving:
         return gen::weightedElement<kind>({{6, kind::send},
-                                           {3, kind::act},
-                                           {14, kind::deliver},
-                                           {10, kind::answer},
-                                           {1, kind::finish},
+                                           {3, kind::resume},
+                                           {14, kind::deliver_to_sidecar},
+                                           {10, kind::deliver_to_entry},
+                                           {1, kind::finish_run},
                                            {4, kind::advance},
-                                           {2, kind::leap},
+                                           {2, kind::advance_far},
                                            {1, kind::break_link},
-                                           {3, kind::mark}});
-    case focus::restarts:
+                                           {3, kind::set_target_leaving}});
+    case command_mix::restarts:
         return gen::weightedElement<kind>({{6, kind::send},
-                                           {3, kind::act},
-                                           {14, kind::deliver},
-                                           {4, kind::answer},
-                                           {2, kind::finish},
+                                           {3, kind::resume},
+                                           {14, kind::deliver_to_sidecar},
+                                           {4, kind::deliver_to_entry},
+                                           {2, kind::finish_run},
                                            {3, kind::advance},
-                                           {1, kind::leap},
+                                           {1, kind::advance_far},
                                            {3, kind::crash},
                                            {2, kind::replace},
                                            {3, kind::break_link}});
-    case focus::anything:
+    case command_mix::anything:
         break;
     }
     return gen::weightedElement<kind>({{6, kind::send},
-                                       {5, kind::act},
-                                       {14, kind::deliver},
-                                       {10, kind::answer},
-                                       {5, kind::finish},
+                                       {5, kind::resume},
+                                       {14, kind::deliver_to_sidecar},
+                                       {10, kind::deliver_to_entry},
+                                       {5, kind::finish_run},
                                        {5, kind::advance},
-                                       {2, kind::leap},
+                                       {2, kind::advance_far},
                                        {2, kind::crash},
                                        {1, kind::replace},
                                        {3, kind::break_link},
                                        {2, kind::adopt},
                                        {1, kind::publish},
-                                       {1, kind::mark}});
+                                       {1, kind::set_target_leaving}});
 }
 
-inline Gen<command> commands_of(focus about)
+inline Gen<command> commands_of(command_mix mix)
 {
     return gen::build<command>(
-        gen::set(&command::what, kinds_of(about)),
-        gen::set(&command::first, gen::inRange(0U, 64U)),
-        gen::set(&command::second, gen::inRange(0U, 64U)));
+        gen::set(&command::type, command_types(mix)),
+        gen::set(&command::first_argument, gen::inRange(0U, 64U)),
+        gen::set(&command::second_argument, gen::inRange(0U, 64U)));
 }
 
 template<>
@@ -96,22 +98,22 @@
 {
     static Gen<history> arbitrary()
     {
-        const auto about =
-            gen::weightedElement<focus>({{2, focus::anything},
-                                         {1, focus::moved_owners},
-                                         {1, focus::leaving},
-                                         {1, focus::restarts}});
+        const auto mix =
+            gen::weightedElement<command_mix>({{2, command_mix::anything},
+                                               {1, command_mix::moved_owners},
+                                               {1, command_mix::leaving},
+                                               {1, command_mix::restarts}});
         return gen::mapcat(
-            about,
-            [](focus chosen)
+            mix,
+            [](command_mix chosen)
             {
-                // A second sending of the same request is what breaks most
-                // promises, so worlds of one or two requests come often.
+                // Most violations need a resend of the same request, so half
+                // of the histories use a single request.
                 return gen::build<history>(
                     gen::set(&history::only_request,
                              gen::weightedElement<int>(
                                  {{4, -1}, {1, 0}, {1, 1}, {1, 2}, {1, 3}})),
-                    gen::set(&history::moves,
+                    gen::set(&history::commands,
                              gen::container<std::vector<command>>(
                                  commands_of(chosen))));
             });
@@ -131,9 +133,9 @@
     int histories;
 };
 
-/// Returns the shortest history found that breaks a promise.
+/// Searches for a history that violates a guarantee, and shrinks it.
 template<typename Safeguards>
-rc::detail::TestResult find_broken(const search& bounds)
+rc::detail::TestResult find_violation(const search& bounds)
 {
     rc::detail::TestParams params;
     params.seed = bounds.seed;
@@ -142,28 +144,30 @@
     return rc::detail::checkTestable(
         [](const history& tried)
         {
-            const auto broken = run_moves<Safeguards>(tried);
-            if (broken)
-                RC_FAIL(*broken);
+            const auto violation = run_history<Safeguards>(tried);
+            if (violation)
+                RC_FAIL(*violation);
         },
         rc::detail::TestMetadata{}, params);
 }
 
-bool is_failure(const rc::detail::TestResult& result)
+bool has_failed(const rc::detail::TestResult& result)
 {
     return result.template is<rc::detail::FailureResult>();
 }
 
 template<typename Safeguards>
-bool must_break(const std::string& name, const search& bounds)
+bool must_find_violation(const std::string& name, const search& bounds)
 {
-    const auto result = find_broken<Safeguards>(bounds);
-    const bool has_broken = is_failure(result);
+    const auto result = find_violation<Safeguards>(bounds);
+    const bool is_violated = has_failed(result);
     std::cout << "without " << name << ": "
-              << (has_broken ? "broken, as it must be" : "NOT BROKEN") << '\n';
-    if (has_broken && std::getenv("SHOW") != nullptr)
+              << (is_violated ? "violation found, as expected"
+                              : "NO VIOLATION FOUND")
+              << '\n';
+    if (is_violated && std::getenv("SHOW") != nullptr)
         rc::detail::printResultMessage(result, std::cout);
-    return has_broken;
+    return is_violated;
 }
 
 } // namespace
@@ -174,24 +178,29 @@
     const int histories = argc > 2 ? std::stoi(argv[2]) : 300000;
     const search bounds{seed, histories};
 
-    bool is_good = true;
-    const auto whole = find_broken<all_safeguards>(bounds);
-    if (is_failure(whole))
+    bool has_passed = true;
+    const auto full_result = find_violation<all_safeguards>(bounds);
+    if (has_failed(full_result))
     {
-        is_good = false;
-        rc::detail::printResultMessage(whole, std::cout);
+        has_passed = false;
+        rc::detail::printResultMessage(full_result, std::cout);
     }
     else
         std::cout << histories << " histories, seed " << seed
-                  << ": no promise broken\n";
-
-    is_good &= must_break<without_grants>("grants", bounds);
-    is_good &= must_break<without_ledger>("ledger", bounds);
-    is_good &= must_break<without_restart_quarantine>("quarantine", bounds);
-    is_good &= must_break<without_ownership_check>("moved ownership", bounds);
-    is_good &= must_break<without_incarnation_check>("incarnation", bounds);
-    is_good &= must_break<without_generation_check>("generations", bounds);
-    is_good &= must_break<without_leaving_refusal>("leaving", bounds);
-    is_good &= must_break<without_renouncing>("renouncing", bounds);
-    return is_good ? 0 : 1;
+                  << ": no guarantee violated\n";
+
+    has_passed &= must_find_violation<without_grants>("grants", bounds);
+    has_passed &= must_find_violation<without_ledger>("ledger", bounds);
+    has_passed &= must_find_violation<without_restart_quarantine>(
+        "restart quarantine", bounds);
+    has_passed &=
+        must_find_violation<without_ownership_check>("ownership check", bounds);
+    has_passed &= must_find_violation<without_incarnation_check>(
+        "incarnation check", bounds);
+    has_passed &= must_find_violation<without_generation_check>(
+        "generation check", bounds);
+    has_passed &= must_find_violation<without_leaving_refusal>(
+        "refusal while leaving", bounds);
+    has_passed &= must_find_violation<without_renouncing>("renouncing", bounds);
+    return has_passed ? 0 : 1;
 }
--- a/tests/promises/mutations.hpp
+++ b/tests/promises/mutations.hpp
@@ -7,7 +7,7 @@
 
 using decision::all_safeguards;
 
-// Each takes one safeguard out; the search must then find a broken promise.
+// Each type disables one safeguard. The search must then find a violation.
 
 struct without_grants : all_safeguards
 {
--- a/tests/promises/world.cpp
+++ b/tests/promises/world.cpp
@@ -10,18 +10,28 @@
 
 std::ostream& operator<<(std::ostream& out, const command& value)
 {
-    constexpr std::array names{
-        "send",  "act",   "deliver", "answer", "finish",  "advance", "leap",
-        "break", "crash", "replace", "adopt",  "publish", "mark"};
-    return out << names.at(static_cast<std::size_t>(value.what)) << '('
-               << value.first << ',' << value.second << ')';
+    constexpr std::array names{"send",
+                               "resume",
+                               "deliver_to_sidecar",
+                               "deliver_to_entry",
+                               "finish_run",
+                               "advance",
+                               "advance_far",
+                               "break_link",
+                               "crash",
+                               "replace",
+                               "adopt",
+                               "publish",
+                               "set_target_leaving"};
+    return out << names.at(static_cast<std::size_t>(value.type)) << '('
+               << value.first_argument << ',' << value.second_argument << ')';
 }
 
 std::ostream& operator<<(std::ostream& out, const history& value)
 {
     out << "request " << value.only_request << ':';
-    for (const command& move : value.moves)
-        out << ' ' << move;
+    for (const command& next : value.commands)
+        out << ' ' << next;
     return out;
 }
 
@@ -31,10 +41,10 @@
       m_requests(request_count)
 {
     m_processes.reserve(256);
-    m_current.resize(target_count);
+    m_current_processes.resize(target_count);
     for (unsigned target = 0; target < target_count; ++target)
         start_process(target);
-    // The fleet has been up for long; no start is in its quarantine.
+    // Lets the restart quarantine of every process end.
     advance(start_horizon + adoption_time);
     for (unsigned entry = 0; entry < entry_count; ++entry)
         for (unsigned target = 0; target < target_count; ++target)
@@ -42,44 +52,44 @@
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::carry_out(const command& move)
+void world<Safeguards>::execute(const command& next)
 {
     using kind = command::kind;
-    constexpr duration little = std::chrono::milliseconds(150);
-    constexpr duration lot = std::chrono::milliseconds(2100);
-    const unsigned target = move.second % target_count;
-    switch (move.what)
+    constexpr duration short_step = std::chrono::milliseconds(150);
+    constexpr duration long_step = std::chrono::milliseconds(2100);
+    const unsigned target = next.second_argument % target_count;
+    switch (next.type)
     {
     case kind::send:
-        return send(m_only_request < 0 ? move.first % request_count
+        return send(m_only_request < 0 ? next.first_argument % request_count
                                        : static_cast<unsigned>(m_only_request),
-                    move.second % entry_count);
-    case kind::act:
-        return act(move.first);
-    case kind::deliver:
-        return deliver(move.first);
-    case kind::answer:
-        return answer(move.first);
-    case kind::finish:
-        return finish(move.first);
+                    next.second_argument % entry_count);
+    case kind::resume:
+        return resume(next.first_argument);
+    case kind::deliver_to_sidecar:
+        return deliver_to_sidecar(next.first_argument);
+    case kind::deliver_to_entry:
+        return deliver_to_entry(next.first_argument);
+    case kind::finish_run:
+        return finish_run(next.first_argument);
     case kind::advance:
-        return advance(little * (move.first % 8 + 1));
-    case kind::leap:
-        return advance(lot * (move.first % 8 + 1));
+        return advance(short_step * (next.first_argument % 8 + 1));
+    case kind::advance_far:
+        return advance(long_step * (next.first_argument % 8 + 1));
     case kind::break_link:
-        return break_link(move.first % entry_count, target);
+        return break_link(next.first_argument % entry_count, target);
     case kind::crash:
         return crash(target);
     case kind::replace:
         return replace(target);
     case kind::adopt:
-        return adopt(move.first);
+        return adopt(next.first_argument);
     case kind::publish:
         return publish();
-    case kind::mark:
+    case kind::set_target_leaving:
     {
-        const std::size_t process = m_current[target];
-        apply(process, m_processes[process].decisions->set_leaving(
+        const std::size_t process = m_current_processes[target];
+        apply(process, m_processes[process].gate->set_leaving(
                            m_now, m_now + std::chrono::seconds(5)));
         return;
     }
@@ -91,154 +101,159 @@
 template<safeguard_set Safeguards>
 void world<Safeguards>::send(unsigned request, unsigned entry)
 {
-    caller_request& asked = m_requests[request];
-    // The callers' side of the agreement: no resend after the horizon.
-    if (asked.first_sent && m_now > *asked.first_sent + horizon)
+    caller_request& request_state = m_requests[request];
+    // Callers agree not to resend after the horizon.
+    if (request_state.first_sent &&
+        m_now > *request_state.first_sent + resend_horizon)
         return;
     const std::vector<std::string> owners = owner_order(
-        digest_of(key_of(request)), members(m_entries[entry].generation));
+        digest_of(key_of(request)), targets_of(m_entries[entry].generation));
     const bool wants_ticket = request % 2 == 1;
-    if (!asked.first_sent && wants_ticket)
+    if (!request_state.first_sent && wants_ticket)
     {
         for (unsigned target = 0; target < target_count; ++target)
         {
             if (target_name(target) == owners.front())
-                asked.presented_ticket =
-                    m_processes[m_current[target]].decisions->mint_ticket(
+                request_state.request_ticket =
+                    m_processes[m_current_processes[target]].gate->mint_ticket(
                         m_now);
         }
     }
-    if (!asked.first_sent)
-        asked.first_sent = m_now;
+    if (!request_state.first_sent)
+        request_state.first_sent = m_now;
     std::optional<std::string> ticket_target;
-    if (asked.presented_ticket)
-        ticket_target = asked.presented_ticket->target;
-    m_sendings.push_back(
-        {request, entry,
-         owned_run(attempt_policy{}, m_now + deadline, owners, ticket_target),
-         asked.presented_ticket, false, false, m_now + deadline});
-    act(static_cast<unsigned>(m_sendings.size() - 1));
+    if (request_state.request_ticket)
+        ticket_target = request_state.request_ticket->target;
+    m_calls.push_back({request, entry,
+                       owned_run(attempt_policy{}, m_now + call_timeout, owners,
+                                 ticket_target),
+                       request_state.request_ticket, false, false,
+                       m_now + call_timeout});
+    resume(static_cast<unsigned>(m_calls.size() - 1));
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::act(unsigned index)
+void world<Safeguards>::resume(unsigned index)
 {
-    if (m_sendings.empty())
+    if (m_calls.empty())
         return;
-    const std::size_t chosen = index % m_sendings.size();
-    sending& one = m_sendings[chosen];
-    if (one.has_ended)
+    const std::size_t chosen = index % m_calls.size();
+    call& current = m_calls[chosen];
+    if (current.has_ended)
         return;
-    const attempt_step step = one.run.next(m_now);
+    const attempt_step step = current.run.next(m_now);
     if (const auto* attempt = std::get_if<send_attempt>(&step))
         return submit(chosen, *attempt);
     const auto* ended = std::get_if<finish_stage>(&step);
     if (ended == nullptr)
         return;
-    one.has_ended = true;
-    one.was_refused = ended->result.status == stage_status::refused;
+    current.has_ended = true;
+    current.was_refused = ended->result.status == stage_status::refused;
     if (ended->result.status == stage_status::done &&
-        ended->result.body != request_name(one.request))
-        break_promise("a caller got the answer to another request");
+        ended->result.body != request_name(current.request))
+        report_violation("a caller received the answer to another request");
     check_refusals();
 }
 
 template<safeguard_set Safeguards>
 void world<Safeguards>::submit(std::size_t index, const send_attempt& step)
 {
-    sending& one = m_sendings[index];
+    call& current = m_calls[index];
     unsigned target = 0;
     while (target < target_count && target_name(target) != step.target)
         ++target;
-    const auto known = m_link_to.find({one.entry, target});
-    if (known == m_link_to.end() || !m_links.at(known->second).grant)
-        return one.run.not_sent(m_now);
-    link& through = m_links.at(known->second);
+    const auto found = m_current_links.find({current.entry, target});
+    if (found == m_current_links.end() || !m_links.at(found->second).grant)
+        return current.run.not_sent(m_now);
+    link& through_link = m_links.at(found->second);
     submission work;
-    work.ref = {known->second, m_next_number++};
-    work.key = key_of(one.request);
+    work.ref = {found->second, m_next_number++};
+    work.key = key_of(current.request);
     work.attempt = step.attempt;
     work.is_repeatable = false;
-    work.grant = *through.grant;
-    work.generation = m_entries[one.entry].generation;
-    work.budget = one.latest - m_now;
+    work.grant = *through_link.grant;
+    work.generation = m_entries[current.entry].generation;
+    work.budget = current.latest - m_now;
     work.body = std::to_string(index);
-    work.request_digest = digest_of(request_name(one.request));
+    work.request_digest = digest_of(request_name(current.request));
     work.pinned_incarnation = step.pinned_incarnation != 0
                                   ? step.pinned_incarnation
-                                  : through.grant->incarnation;
+                                  : through_link.grant->incarnation;
     if (step.uses_ticket)
-        work.presented_ticket = one.presented_ticket;
+        work.presented_ticket = current.request_ticket;
     work.renounced_by = step.renounced_by;
-    m_outstanding[work.ref] = index;
-    through.to_sidecar.push_back({std::nullopt, work});
-    one.run.sent(through.grant->incarnation);
+    m_open_submissions[work.ref] = index;
+    through_link.to_sidecar.push_back({std::nullopt, work});
+    current.run.sent(through_link.grant->incarnation);
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::deliver(unsigned index)
+void world<Safeguards>::deliver_to_sidecar(unsigned index)
 {
-    std::vector<link_id> waiting;
-    for (const auto& [id, one] : m_links)
-        if (!one.to_sidecar.empty())
-            waiting.push_back(id);
-    if (waiting.empty())
+    std::vector<link_id> links_with_messages;
+    for (const auto& [id, candidate] : m_links)
+        if (!candidate.to_sidecar.empty())
+            links_with_messages.push_back(id);
+    if (links_with_messages.empty())
         return;
-    const link_id id = waiting[index % waiting.size()];
-    link& from = m_links.at(id);
-    const wire_message message = from.to_sidecar.front();
-    from.to_sidecar.pop_front();
-    const std::size_t process = from.process;
-    sidecar_process& to = m_processes[process];
-    if (!to.decisions)
+    const link_id id = links_with_messages[index % links_with_messages.size()];
+    link& source = m_links.at(id);
+    const wire_message message = source.to_sidecar.front();
+    source.to_sidecar.pop_front();
+    const std::size_t process = source.process;
+    sidecar_process& receiver = m_processes[process];
+    if (!receiver.gate)
         return;
     if (!message.opening)
-        return take_in(process, message.work);
-    const auto older = to.link_of_entry.find(message.opening->entry);
-    if (older != to.link_of_entry.end())
-        apply(process, to.decisions->close_link(older->second, m_now));
-    to.link_of_entry[message.opening->entry] = id;
-    from.grant = to.decisions->issue_grant(id, m_now);
+        return submit_to_gate(process, message.work);
+    const auto previous = receiver.link_of_entry.find(message.opening->entry);
+    if (previous != receiver.link_of_entry.end())
+        apply(process, receiver.gate->close_link(previous->second, m_now));
+    receiver.link_of_entry[message.opening->entry] = id;
+    source.grant = receiver.gate->issue_grant(id, m_now);
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::take_in(std::size_t process, const submission& work)
+void world<Safeguards>::submit_to_gate(std::size_t process,
+                                       const submission& work)
 {
-    gate& decisions = *m_processes[process].decisions;
-    const gate_effects effects = decisions.submit(work, m_now);
+    gate_type& gate = *m_processes[process].gate;
+    const gate_effects effects = gate.submit(work, m_now);
     for (const gate_effect& effect : effects)
     {
         const auto* run = std::get_if<start_run>(&effect);
         if (run != nullptr && run->body == work.body &&
-            work.generation != decisions.generation())
-            break_promise("work started under two different manifests");
+            work.generation != gate.generation())
+            report_violation(
+                "a run started under a different manifest than its submission");
     }
     apply(process, effects);
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::answer(unsigned index)
+void world<Safeguards>::deliver_to_entry(unsigned index)
 {
-    std::vector<link_id> waiting;
-    for (const auto& [id, one] : m_links)
-        if (!one.to_entry.empty())
-            waiting.push_back(id);
-    if (waiting.empty())
+    std::vector<link_id> links_with_messages;
+    for (const auto& [id, candidate] : m_links)
+        if (!candidate.to_entry.empty())
+            links_with_messages.push_back(id);
+    if (links_with_messages.empty())
         return;
-    link& from = m_links.at(waiting[index % waiting.size()]);
-    const send_result message = from.to_entry.front();
-    from.to_entry.pop_front();
-    const auto found = m_outstanding.find(message.ref);
-    if (!from.is_current || found == m_outstanding.end())
+    link& source =
+        m_links.at(links_with_messages[index % links_with_messages.size()]);
+    const send_result message = source.to_entry.front();
+    source.to_entry.pop_front();
+    const auto found = m_open_submissions.find(message.ref);
+    if (!source.is_current || found == m_open_submissions.end())
         return;
     const std::size_t chosen = found->second;
-    m_outstanding.erase(found);
-    m_sendings[chosen].run.ended(message.attempt, message.result, m_now);
-    act(static_cast<unsigned>(chosen));
+    m_open_submissions.erase(found);
+    m_calls[chosen].run.ended(message.attempt, message.result, m_now);
+    resume(static_cast<unsigned>(chosen));
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::finish(unsigned index)
+void world<Safeguards>::finish_run(unsigned index)
 {
     std::vector<std::pair<std::size_t, run_id>> running;
     for (std::size_t process = 0; process < m_processes.size(); ++process)
@@ -247,14 +262,14 @@
     if (running.empty())
         return;
     const auto [process, id] = running[index % running.size()];
-    sidecar_process& at = m_processes[process];
-    const start_run run = at.running.at(id);
-    at.running.erase(id);
-    if (!at.decisions)
+    sidecar_process& sidecar = m_processes[process];
+    const start_run run = sidecar.running.at(id);
+    sidecar.running.erase(id);
+    if (!sidecar.gate)
         return;
     const stage_result result{
         stage_status::done, reason::none, run.key.request_id, {}, {}, false};
-    apply(process, at.decisions->finish(id, result, m_now));
+    apply(process, sidecar.gate->finish(id, result, m_now));
 }
 
 template<safeguard_set Safeguards>
@@ -263,30 +278,32 @@
     m_now += by;
     for (std::size_t index = 0; index < m_processes.size(); ++index)
     {
-        sidecar_process& one = m_processes[index];
-        const bool is_current = m_current[one.target] == index;
-        const bool lags = one.decisions &&
-                          one.decisions->generation() < m_generation &&
-                          one.lagging_since + adoption_time <= m_now;
-        if (is_current && lags)
-            apply(index, one.decisions->set_configuration(
+        sidecar_process& sidecar = m_processes[index];
+        const bool is_current = m_current_processes[sidecar.target] == index;
+        const bool is_overdue = sidecar.gate &&
+                                sidecar.gate->generation() < m_generation &&
+                                sidecar.outdated_since + adoption_time <= m_now;
+        if (is_current && is_overdue)
+            apply(index, sidecar.gate->set_configuration(
                              configuration(m_generation), m_now));
     }
-    for (entry_process& one : m_entries)
+    for (entry_process& entry : m_entries)
     {
-        if (one.lagging_since + adoption_time <= m_now)
-            one.generation = m_generation;
+        if (entry.outdated_since + adoption_time <= m_now)
+            entry.generation = m_generation;
     }
-    // Sidecars renew grants on the streams that they know.
-    for (auto& [id, one] : m_links)
+    // Sidecars renew grants on their current streams.
+    for (auto& [id, renewed] : m_links)
     {
-        sidecar_process& at = m_processes[one.process];
-        const bool is_paused = m_current[at.target] != one.process;
-        if (!at.decisions || is_paused)
+        sidecar_process& sidecar = m_processes[renewed.process];
+        const bool is_paused =
+            m_current_processes[sidecar.target] != renewed.process;
+        if (!sidecar.gate || is_paused)
             continue;
-        const auto named = at.link_of_entry.find(one.entry);
-        if (named != at.link_of_entry.end() && named->second == id)
-            one.grant = at.decisions->issue_grant(id, m_now);
+        const auto known_link = sidecar.link_of_entry.find(renewed.entry);
+        if (known_link != sidecar.link_of_entry.end() &&
+            known_link->second == id)
+            renewed.grant = sidecar.gate->issue_grant(id, m_now);
     }
 }
 
@@ -296,10 +313,10 @@
     const link_id id = m_next_link++;
     link opened;
     opened.entry = entry;
-    opened.process = m_current[target];
+    opened.process = m_current_processes[target];
     opened.to_sidecar.push_back({hello{entry}, {}});
     m_links.emplace(id, std::move(opened));
-    m_link_to[{entry, target}] = id;
+    m_current_links[{entry, target}] = id;
 }
 
 template<safeguard_set Safeguards>
@@ -308,47 +325,49 @@
     link& lost = m_links.at(id);
     lost.is_current = false;
     lost.grant.reset();
-    for (auto one = m_outstanding.begin(); one != m_outstanding.end();)
+    for (auto item = m_open_submissions.begin();
+         item != m_open_submissions.end();)
     {
-        if (one->first.link != id)
+        if (item->first.link != id)
         {
-            ++one;
+            ++item;
             continue;
         }
-        owned_run& run = m_sendings[one->second].run;
+        owned_run& run = m_calls[item->second].run;
         run.link_lost(run.attempt(), m_now);
-        one = m_outstanding.erase(one);
+        item = m_open_submissions.erase(item);
     }
 }
 
-// What lies in the old stream can still arrive, also after the new one.
+// Messages on the old stream can still arrive, even after those on the new
+// stream.
 template<safeguard_set Safeguards>
 void world<Safeguards>::break_link(unsigned entry, unsigned target)
 {
-    const auto known = m_link_to.find({entry, target});
-    if (known != m_link_to.end())
-        lose_link(known->second);
+    const auto found = m_current_links.find({entry, target});
+    if (found != m_current_links.end())
+        lose_link(found->second);
     open_link(entry, target);
 }
 
 template<safeguard_set Safeguards>
 void world<Safeguards>::start_process(unsigned target)
 {
-    sidecar_process fresh;
-    fresh.target = target;
-    fresh.decisions = std::make_unique<gate>(
-        typename gate::identity{target_name(target), m_next_incarnation++,
-                                m_now},
-        typename gate::bounds{grant_time, 8, 1U << 20U});
-    fresh.decisions->set_configuration(configuration(m_generation), m_now);
-    m_current[target] = m_processes.size();
-    m_processes.push_back(std::move(fresh));
+    sidecar_process started;
+    started.target = target;
+    started.gate = std::make_unique<gate_type>(
+        typename gate_type::identity{target_name(target), m_next_incarnation++,
+                                     m_now},
+        typename gate_type::bounds{grant_lifetime, 8, 1U << 20U});
+    started.gate->set_configuration(configuration(m_generation), m_now);
+    m_current_processes[target] = m_processes.size();
+    m_processes.push_back(std::move(started));
 }
 
 template<safeguard_set Safeguards>
 void world<Safeguards>::crash(unsigned target)
 {
-    m_processes[m_current[target]].decisions.reset();
+    m_processes[m_current_processes[target]].gate.reset();
     replace(target);
 }
 
@@ -371,8 +390,8 @@
         m_entries[chosen - target_count].generation = m_generation;
         return;
     }
-    const std::size_t index = m_current[chosen];
-    apply(index, m_processes[index].decisions->set_configuration(
+    const std::size_t index = m_current_processes[chosen];
+    apply(index, m_processes[index].gate->set_configuration(
                      configuration(m_generation), m_now));
 }
 
@@ -380,29 +399,29 @@
 void world<Safeguards>::publish()
 {
     ++m_generation;
-    for (std::size_t index : m_current)
+    for (std::size_t index : m_current_processes)
     {
-        sidecar_process& one = m_processes[index];
-        if (one.decisions->generation() + 1 == m_generation)
-            one.lagging_since = m_now;
+        sidecar_process& sidecar = m_processes[index];
+        if (sidecar.gate->generation() + 1 == m_generation)
+            sidecar.outdated_since = m_now;
     }
-    for (entry_process& one : m_entries)
+    for (entry_process& entry : m_entries)
     {
-        if (one.generation + 1 == m_generation)
-            one.lagging_since = m_now;
+        if (entry.generation + 1 == m_generation)
+            entry.outdated_since = m_now;
     }
 }
 
 template<safeguard_set Safeguards>
 void world<Safeguards>::apply(std::size_t process, const gate_effects& effects)
 {
-    sidecar_process& at = m_processes[process];
+    sidecar_process& sidecar = m_processes[process];
     for (const gate_effect& effect : effects)
     {
         if (const auto* run = std::get_if<start_run>(&effect))
         {
-            at.running.emplace(run->run, *run);
-            note_run(*run, at);
+            sidecar.running.emplace(run->run, *run);
+            record_run(*run, sidecar);
         }
         if (const auto* result = std::get_if<send_result>(&effect))
             m_links.at(result->ref.link).to_entry.push_back(*result);
@@ -410,32 +429,33 @@
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::note_run(const start_run& run,
-                                 const sidecar_process& process)
+void world<Safeguards>::record_run(const start_run& run,
+                                   const sidecar_process& process)
 {
     if (++m_runs[run.key.request_id] > 1)
-        break_promise("a request that may not be repeated ran twice");
-    ++m_run_by[run.body];
-    if (process.decisions->is_leaving(m_now))
-        break_promise("a leaving target got new work");
+        report_violation("a non-repeatable request ran twice");
+    ++m_runs_by_call[run.body];
+    if (process.gate->is_leaving(m_now))
+        report_violation("a leaving target started new work");
     check_refusals();
 }
 
 template<safeguard_set Safeguards>
 void world<Safeguards>::check_refusals()
 {
-    for (std::size_t index = 0; index < m_sendings.size(); ++index)
+    for (std::size_t index = 0; index < m_calls.size(); ++index)
     {
-        if (m_sendings[index].was_refused &&
-            m_run_by.contains(std::to_string(index)))
-            break_promise("a request ran that was called not run");
+        if (m_calls[index].was_refused &&
+            m_runs_by_call.contains(std::to_string(index)))
+            report_violation(
+                "a request ran after its caller was told that it did not run");
     }
 }
 
-// The third target is in the manifest of every other generation only.
+// The third target is only in the manifests of odd generations.
 template<safeguard_set Safeguards>
 std::vector<std::string>
-world<Safeguards>::members(std::uint64_t generation) const
+world<Safeguards>::targets_of(std::uint64_t generation) const
 {
     std::vector<std::string> names{target_name(0), target_name(1)};
     if (generation % 2 == 1)
@@ -449,7 +469,7 @@
 {
     gate_configuration value;
     value.generation = generation;
-    value.pool_targets = members(generation);
+    value.pool_targets = targets_of(generation);
     value.slots = 1;
     value.shares = {0, 0, 1};
     value.start_horizon = start_horizon;
@@ -466,8 +486,8 @@
 template<safeguard_set Safeguards>
 std::string world<Safeguards>::request_name(unsigned request)
 {
-    // Owned by target 1, 0, 2 and 2: the one that enters and leaves the
-    // manifest owns some, or ownership would hardly ever move.
+    // Owned by targets 1, 0, 2 and 2. Target 2, which enters and leaves the
+    // manifest, must own some requests, or ownership would rarely move.
     constexpr std::array<const char*, request_count> names{
         "request-0", "request-3", "request-5", "request-9"};
     return names.at(request);
@@ -480,39 +500,39 @@
 }
 
 template<safeguard_set Safeguards>
-void world<Safeguards>::break_promise(const std::string& text)
+void world<Safeguards>::report_violation(const std::string& text)
 {
-    if (!m_broken)
-        m_broken = text;
+    if (!m_violation)
+        m_violation = text;
 }
 
 template<safeguard_set Safeguards>
-std::optional<std::string> run_moves(const history& tried)
+std::optional<std::string> run_history(const history& tried)
 {
-    world<Safeguards> played(tried.only_request);
-    for (const command& move : tried.moves)
+    world<Safeguards> simulated(tried.only_request);
+    for (const command& next : tried.commands)
     {
-        played.carry_out(move);
-        if (played.broken())
+        simulated.execute(next);
+        if (simulated.violation())
             break;
     }
-    return played.broken();
+    return simulated.violation();
 }
 
-template std::optional<std::string> run_moves<all_safeguards>(const history&);
-template std::optional<std::string> run_moves<without_grants>(const history&);
-template std::optional<std::string> run_moves<without_ledger>(const history&);
+template std::optional<std::string> run_history<all_safeguards>(const history&);
+template std::optional<std::string> run_history<without_grants>(const history&);
+template std::optional<std::string> run_history<without_ledger>(const history&);
 template std::optional<std::string>
-run_moves<without_restart_quarantine>(const history&);
+run_history<without_restart_quarantine>(const history&);
 template std::optional<std::string>
-run_moves<without_ownership_check>(const history&);
+run_history<without_ownership_check>(const history&);
 template std::optional<std::string>
-run_moves<without_incarnation_check>(const history&);
+run_history<without_incarnation_check>(const history&);
 template std::optional<std::string>
-run_moves<without_generation_check>(const history&);
+run_history<without_generation_check>(const history&);
 template std::optional<std::string>
-run_moves<without_leaving_refusal>(const history&);
+run_history<without_leaving_refusal>(const history&);
 template std::optional<std::string>
-run_moves<without_renouncing>(const history&);
+run_history<without_renouncing>(const history&);
 
 } // namespace mangofold::promises
--- a/tests/promises/world.hpp
+++ b/tests/promises/world.hpp
@@ -19,69 +19,71 @@
 
 using namespace decision;
 
-/// One move of the callers, the network, the operators or a fault.
+/// One action of the callers, the network or the operators, or one fault.
 struct command
 {
     enum class kind
     {
-        send,       ///< A caller sends a request through an entry.
-        act,        ///< An entry goes on with a sending.
-        deliver,    ///< A message reaches a sidecar.
-        answer,     ///< A message reaches an entry.
-        finish,     ///< A target ends a run.
-        advance,    ///< Time passes, a little.
-        leap,       ///< Time passes, a lot.
-        break_link, ///< An entry finds a stream dead and opens a new one.
-        crash,      ///< A sidecar dies and is started again.
-        replace,    ///< A sidecar is paused and a replacement started.
-        adopt,      ///< A process takes the newest manifest over.
-        publish,    ///< A target enters or leaves the manifest.
-        mark,       ///< The platform calls a target leaving.
+        send,               ///< A caller sends a request through an entry.
+        resume,             ///< An entry continues a call.
+        deliver_to_sidecar, ///< A message reaches a sidecar.
+        deliver_to_entry,   ///< A message reaches an entry.
+        finish_run,         ///< A target ends a run.
+        advance,            ///< A short time passes.
+        advance_far,        ///< A long time passes.
+        break_link,         ///< An entry replaces a dead stream.
+        crash,              ///< A sidecar dies and is restarted.
+        replace,            ///< A sidecar is paused and replaced.
+        adopt,              ///< A process adopts the newest manifest.
+        publish,            ///< A target enters or leaves the manifest.
+        set_target_leaving, ///< The platform lists a target as leaving.
         count
     };
 
-    kind what = kind::act;
-    unsigned first = 0;
-    unsigned second = 0;
+    kind type = kind::resume;
+    /// Arguments select by their value modulo the number of choices.
+    unsigned first_argument = 0;
+    unsigned second_argument = 0;
 };
 
 std::ostream& operator<<(std::ostream& out, const command& value);
 
-/// What happens in one world.
+/// The commands that one simulation executes, in order.
 struct history
 {
-    int only_request = -1; ///< The only one that is sent; -1 for any.
-    std::vector<command> moves;
+    int only_request = -1; ///< Index of the only request sent; -1 for all.
+    std::vector<command> commands;
 };
 
 std::ostream& operator<<(std::ostream& out, const history& value);
 
-constexpr duration horizon = std::chrono::seconds(6);
-constexpr duration deadline = std::chrono::seconds(2);
-constexpr duration grant_time = std::chrono::seconds(2);
+constexpr duration resend_horizon = std::chrono::seconds(6);
+constexpr duration call_timeout = std::chrono::seconds(2);
+constexpr duration grant_lifetime = std::chrono::seconds(2);
 constexpr duration adoption_time = std::chrono::seconds(4);
-constexpr duration start_horizon = horizon + deadline + grant_time;
+constexpr duration start_horizon =
+    resend_horizon + call_timeout + grant_lifetime;
 
-/// Callers, two entries, three targets with their sidecars, and a network
-/// between them, around the real decisions. Only requests that may not be
-/// repeated. Time stands still but for the commands that advance it.
+/// Simulates callers, two entries, three targets with their sidecars, and the
+/// network between them, with the production code of the gate and the entry's
+/// attempts. All requests are non-repeatable. Time passes only by commands.
 template<safeguard_set Safeguards>
 class world
 {
 public:
     explicit world(int only_request);
 
-    /// Carries \a move out; one that is not possible now does nothing.
-    void carry_out(const command& move);
+    /// Executes \a next, or does nothing if it is not possible now.
+    void execute(const command& next);
 
-    /// Returns the broken promise, or nothing.
-    const std::optional<std::string>& broken() const { return m_broken; }
+    /// Returns the violated guarantee, or nothing.
+    const std::optional<std::string>& violation() const { return m_violation; }
 
-    /// Returns how many requests ran, for a check that any did.
+    /// Returns how many requests ran.
     std::size_t runs() const { return m_runs.size(); }
 
 private:
-    using gate = target_gate<fixed_limit, Safeguards>;
+    using gate_type = target_gate<fixed_limit, Safeguards>;
 
     static constexpr unsigned target_count = 3;
     static constexpr unsigned entry_count = 2;
@@ -101,10 +103,10 @@
     struct sidecar_process
     {
         unsigned target = 0;
-        std::unique_ptr<gate> decisions;
+        std::unique_ptr<gate_type> gate;
         std::map<run_id, start_run> running;
         std::map<unsigned, link_id> link_of_entry;
-        instant lagging_since{};
+        instant outdated_since{};
     };
 
     struct link
@@ -117,12 +119,13 @@
         std::optional<grant_ref> grant;
     };
 
-    struct sending
+    /// One sending of a request by its caller to an entry.
+    struct call
     {
         unsigned request = 0;
         unsigned entry = 0;
         owned_run run;
-        std::optional<ticket> presented_ticket;
+        std::optional<ticket> request_ticket;
         bool has_ended = false;
         bool was_refused = false;
         instant latest{};
@@ -131,21 +134,21 @@
     struct entry_process
     {
         std::uint64_t generation = 1;
-        instant lagging_since{};
+        instant outdated_since{};
     };
 
     struct caller_request
     {
         std::optional<instant> first_sent;
-        std::optional<ticket> presented_ticket;
+        std::optional<ticket> request_ticket;
     };
 
     void send(unsigned request, unsigned entry);
-    void act(unsigned index);
-    void deliver(unsigned index);
-    void take_in(std::size_t process, const submission& work);
-    void answer(unsigned index);
-    void finish(unsigned index);
+    void resume(unsigned index);
+    void deliver_to_sidecar(unsigned index);
+    void submit_to_gate(std::size_t process, const submission& work);
+    void deliver_to_entry(unsigned index);
+    void finish_run(unsigned index);
     void advance(duration by);
     void break_link(unsigned entry, unsigned target);
     void start_process(unsigned target);
@@ -158,14 +161,14 @@
     void lose_link(link_id id);
     void submit(std::size_t index, const send_attempt& step);
     void apply(std::size_t process, const gate_effects& effects);
-    void note_run(const start_run& run, const sidecar_process& process);
+    void record_run(const start_run& run, const sidecar_process& process);
     void check_refusals();
-    std::vector<std::string> members(std::uint64_t generation) const;
+    std::vector<std::string> targets_of(std::uint64_t generation) const;
     gate_configuration configuration(std::uint64_t generation) const;
     static std::string target_name(unsigned target);
     static std::string request_name(unsigned request);
     request_key key_of(unsigned request) const;
-    void break_promise(const std::string& text);
+    void report_violation(const std::string& text);
 
     int m_only_request;
     instant m_now{std::chrono::hours(1)};
@@ -173,22 +176,23 @@
     std::uint64_t m_next_incarnation = 100;
     link_id m_next_link = 1;
     std::vector<sidecar_process> m_processes;
-    std::vector<std::size_t> m_current; ///< Process of each target.
+    std::vector<std::size_t>
+        m_current_processes; ///< Index of the process of each target.
     std::vector<entry_process> m_entries;
     std::map<link_id, link> m_links;
-    std::map<std::pair<unsigned, unsigned>, link_id> m_link_to;
+    std::map<std::pair<unsigned, unsigned>, link_id> m_current_links;
     std::vector<caller_request> m_requests;
-    std::vector<sending> m_sendings;
-    std::map<submission_ref, std::size_t> m_outstanding;
+    std::vector<call> m_calls;
+    std::map<submission_ref, std::size_t> m_open_submissions;
     std::uint64_t m_next_number = 1;
-    std::map<std::string, unsigned> m_runs;   ///< By request.
-    std::map<std::string, unsigned> m_run_by; ///< By sending.
-    std::optional<std::string> m_broken;
+    std::map<std::string, unsigned> m_runs;         ///< Runs by request.
+    std::map<std::string, unsigned> m_runs_by_call; ///< Runs by call.
+    std::optional<std::string> m_violation;
 };
 
-/// Runs \a tried in a world with \a Safeguards. Returns the broken promise,
-/// or nothing.
+/// Executes \a tried with \a Safeguards. Returns the violated guarantee, or
+/// nothing.
 template<safeguard_set Safeguards>
-std::optional<std::string> run_moves(const history& tried);
+std::optional<std::string> run_history(const history& tried);
 
 } // namespace mangofold::promises
--- a/tests/support/gate_fixture.hpp
+++ b/tests/support/gate_fixture.hpp
@@ -13,18 +13,18 @@
 using namespace decision;
 using namespace std::chrono_literals;
 
-/// A configured gate of target "booking-1" with one stream, and a clock that
-/// the test advances.
+/// A configured gate of target "booking-1" with one stream and a clock that
+/// the test sets.
 template<safeguard_set Safeguards = all_safeguards>
 struct gate_fixture
 {
-    using gate = target_gate<fixed_limit, Safeguards>;
+    using gate_type = target_gate<fixed_limit, Safeguards>;
 
     static constexpr std::uint64_t incarnation = 11;
-    static constexpr link_id entry = 1;
+    static constexpr link_id entry_link = 1;
 
     instant now{1h};
-    gate decisions{{"booking-1", incarnation, instant{}},
+    gate_type gate{{"booking-1", incarnation, instant{}},
                    {2s, 1000, 1U << 20U}};
     grant_ref grant;
     std::uint64_t next_number = 1;
@@ -32,9 +32,9 @@
     explicit gate_fixture(std::size_t slots = 1, std::size_t queued = 8)
     {
         configure(1, {"booking-1"}, slots, queued);
-        // Long enough for the first list to be the only one remembered.
+        // Long enough that no earlier target list lies within the horizon.
         now += 1h;
-        grant = *decisions.issue_grant(entry, now);
+        grant = *gate.issue_grant(entry_link, now);
     }
 
     gate_effects configure(std::uint64_t generation,
@@ -48,18 +48,19 @@
         value.shares = {0, 0, queued};
         value.start_horizon = 10s;
         value.adoption_bound = 16s;
-        return decisions.set_configuration(value, now);
+        return gate.set_configuration(value, now);
     }
 
-    submission work(const std::string& id, bool is_repeatable = false)
+    submission make_submission(const std::string& id,
+                               bool is_repeatable = false)
     {
         submission value;
-        value.ref = {entry, next_number++};
+        value.ref = {entry_link, next_number++};
         value.key = {"desk", id, "redeem"};
         value.attempt = 1;
         value.is_repeatable = is_repeatable;
         value.grant = grant;
-        value.generation = decisions.generation();
+        value.generation = gate.generation();
         value.budget = 2s;
         value.body = "{}";
         value.request_digest = digest_of(id);
@@ -68,30 +69,31 @@
 
     gate_effects submit(const submission& value)
     {
-        return decisions.submit(value, now);
+        return gate.submit(value, now);
     }
 };
 
 template<typename Effect>
-std::vector<Effect> all_of(const gate_effects& effects)
+std::vector<Effect> effects_of(const gate_effects& effects)
 {
     std::vector<Effect> found;
     for (const gate_effect& effect : effects)
-        if (const auto* one = std::get_if<Effect>(&effect))
-            found.push_back(*one);
+        if (const auto* match = std::get_if<Effect>(&effect))
+            found.push_back(*match);
     return found;
 }
 
-/// Returns the reason of the only result among \a effects.
-inline std::optional<reason> reason_in(const gate_effects& effects)
+/// Returns the reason of the only result in \a effects, or nothing if there
+/// is not exactly one result.
+inline std::optional<reason> only_reason(const gate_effects& effects)
 {
-    const auto results = all_of<send_result>(effects);
+    const auto results = effects_of<send_result>(effects);
     if (results.size() != 1)
         return std::nullopt;
     return results.front().result.cause;
 }
 
-inline stage_result answer(const std::string& body)
+inline stage_result done_result(const std::string& body)
 {
     return {stage_status::done, reason::none, body, {}, {}, false};
 }
