--- a/packages/decision/safeguards.hpp
+++ b/packages/decision/safeguards.hpp
@@ -39,13 +39,22 @@
 
 struct all_safeguards
 {
+    /// Refuses work without a valid grant.
     static constexpr bool has_grants = true;
+    /// Answers resends from the execution ledger.
     static constexpr bool has_ledger = true;
+    /// After a start, refuses requests without a ticket until no caller
+    /// resends requests of an earlier process.
     static constexpr bool has_restart_quarantine = true;
+    /// Refuses keys that another target owns or owned recently.
     static constexpr bool has_ownership_check = true;
+    /// Refuses work and tickets that belong to another process.
     static constexpr bool has_incarnation_check = true;
+    /// Refuses work of another manifest generation.
     static constexpr bool has_generation_check = true;
+    /// Refuses new and queued work while the target is leaving.
     static constexpr bool has_leaving_refusal = true;
+    /// Records that work refused while leaving will never run here.
     static constexpr bool has_renouncing = true;
 };
 
--- a/packages/decision/stage_result.hpp
+++ b/packages/decision/stage_result.hpp
@@ -23,15 +23,15 @@
 };
 
 /// Returns the result of a submission that did not run and never will.
-inline stage_result refused(reason why, duration retry_after = {})
+inline stage_result refused(reason cause, duration retry_after = {})
 {
-    return {stage_status::refused, why, {}, {}, retry_after, false};
+    return {stage_status::refused, cause, {}, {}, retry_after, false};
 }
 
 /// Returns the result of a submission whose request may already have run.
-inline stage_result unknown_outcome(reason why, duration retry_after = {})
+inline stage_result unknown_outcome(reason cause, duration retry_after = {})
 {
-    return {stage_status::unknown, why, {}, {}, retry_after, false};
+    return {stage_status::unknown, cause, {}, {}, retry_after, false};
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/target_gate.hpp
+++ b/packages/decision/target_gate.hpp
@@ -188,7 +188,7 @@
                gate_effects& effects);
     void start_runs(instant now, gate_effects& effects);
     gate_effects stop_new_work(instant now);
-    void refuse_queued(const std::vector<queued_work>& queued, reason why,
+    void refuse_queued(const std::vector<queued_work>& queued, reason cause,
                        instant now, gate_effects& effects);
     void send_to_waiters(const accepted_run& run, const stage_result& result,
                          gate_effects& effects) const;
--- a/packages/decision/target_gate.ipp
+++ b/packages/decision/target_gate.ipp
@@ -158,7 +158,7 @@
 
 template<concurrency_policy Limit, safeguard_set Safeguards>
 void target_gate<Limit, Safeguards>::refuse_queued(
-    const std::vector<queued_work>& queued, reason why, instant now,
+    const std::vector<queued_work>& queued, reason cause, instant now,
     gate_effects& effects)
 {
     for (const queued_work& work : queued)
@@ -168,11 +168,11 @@
         if (!queued_run.work.is_repeatable)
         {
             m_ledger.remove(queued_run.key);
-            if (why == reason::target_leaving)
+            if (cause == reason::target_leaving)
                 m_ledger.renounce(queued_run.key, now);
         }
         send_to_waiters(queued_run,
-                        refused(why, retry_delay(queued_run.work.priority)),
+                        refused(cause, retry_delay(queued_run.work.priority)),
                         effects);
         m_runs.erase(found);
     }
--- a/packages/decision/target_gate_runs.ipp
+++ b/packages/decision/target_gate_runs.ipp
@@ -13,11 +13,11 @@
     const run_id id = m_next_run++;
     const queued_work queued{id, work.priority, work.key.account, work.weight,
                              expires};
-    const reason why = m_queue.push(queued, now, m_limit.limit(),
-                                    expected_service_time(work.priority));
-    if (why != reason::none)
+    const reason cause = m_queue.push(queued, now, m_limit.limit(),
+                                      expected_service_time(work.priority));
+    if (cause != reason::none)
     {
-        reply(work, refused(why, retry_delay(work.priority)), effects);
+        reply(work, refused(cause, retry_delay(work.priority)), effects);
         return;
     }
     if (!work.is_repeatable)
--- a/tests/promises/world.cpp
+++ b/tests/promises/world.cpp
@@ -173,7 +173,7 @@
     work.is_repeatable = false;
     work.grant = *through_link.grant;
     work.generation = m_entries[current.entry].generation;
-    work.budget = current.latest - m_now;
+    work.budget = current.deadline - m_now;
     work.body = std::to_string(index);
     work.request_digest = digest_of(request_name(current.request));
     work.pinned_incarnation = step.pinned_incarnation != 0
--- a/tests/promises/world.hpp
+++ b/tests/promises/world.hpp
@@ -128,7 +128,7 @@
         std::optional<ticket> request_ticket;
         bool has_ended = false;
         bool was_refused = false;
-        instant latest{};
+        instant deadline{};
     };
 
     struct entry_process
