--- a/packages/decision/execution_ledger.hpp
+++ b/packages/decision/execution_ledger.hpp
@@ -39,8 +39,7 @@
     {
         state status = state::in_progress;
         digest request_digest; ///< Digest of the caller's request.
-        instant
-            since{}; ///< When it was accepted or renounced, or when it ended.
+        instant since{};       ///< When accepted, renounced or ended.
         stage_result outcome;
     };
 
--- a/packages/decision/ownership_history.hpp
+++ b/packages/decision/ownership_history.hpp
@@ -26,7 +26,8 @@
                   const std::vector<std::string>& renounced_by) const;
 
     /// Whether another target, or none, owned \a key within \a horizon before
-    /// \a now, ignoring the targets in \a renounced_by.
+    /// \a now, ignoring the targets in \a renounced_by. Also true if
+    /// lists within the horizon may have been dropped.
     bool had_other_owner(const digest& key,
                          const std::vector<std::string>& renounced_by,
                          instant now, duration horizon) const;
--- a/packages/decision/reason.hpp
+++ b/packages/decision/reason.hpp
@@ -11,7 +11,7 @@
 enum class reason : std::uint8_t
 {
     none,
-    // Given by a sidecar before it calls the target.
+    // Given by a sidecar if nothing ran.
     grant_lapsed,
     generation_behind,
     generation_ahead,
--- a/packages/decision/safeguards.hpp
+++ b/packages/decision/safeguards.hpp
@@ -46,7 +46,8 @@
     /// After a start, refuses requests without a ticket until no caller
     /// resends requests of an earlier process.
     static constexpr bool has_restart_quarantine = true;
-    /// Refuses keys that another target owns or owned recently.
+    /// Refuses requests without a ticket if another target owns the key or
+    /// owned the key recently.
     static constexpr bool has_ownership_check = true;
     /// Refuses work and tickets that belong to another process.
     static constexpr bool has_incarnation_check = true;
@@ -54,7 +55,7 @@
     static constexpr bool has_generation_check = true;
     /// Refuses new and queued work while the target is leaving.
     static constexpr bool has_leaving_refusal = true;
-    /// Records that work refused while leaving will never run here.
+    /// Records that new work refused while leaving will never run here.
     static constexpr bool has_renouncing = true;
 };
 
--- a/tests/promises/world.hpp
+++ b/tests/promises/world.hpp
@@ -176,8 +176,7 @@
     std::uint64_t m_next_incarnation = 100;
     link_id m_next_link = 1;
     std::vector<sidecar_process> m_processes;
-    std::vector<std::size_t>
-        m_current_processes; ///< Index of the process of each target.
+    std::vector<std::size_t> m_current_processes; ///< By target.
     std::vector<entry_process> m_entries;
     std::map<link_id, link> m_links;
     std::map<std::pair<unsigned, unsigned>, link_id> m_current_links;
