--- a/packages/decision/owned_run.cpp
+++ b/packages/decision/owned_run.cpp
@@ -30,7 +30,7 @@
     if (!m_ticket_target && m_owner_index >= m_owners.size())
         return give_up(reason::no_target);
     if (m_resyncs >= m_policy.max_resyncs && m_pinned_incarnation == 0)
-        return give_up(m_last_result ? m_last_result->why : reason::no_target);
+        return give_up(m_last_result ? m_last_result->cause : reason::no_target);
     if (now < m_earliest_send)
         return wait_until{std::min(m_earliest_send, m_deadline)};
     ++m_attempt;
@@ -80,12 +80,12 @@
     }
     // The process that received the request reports that it did not run.
     m_pinned_incarnation = 0;
-    if (is_out_of_sync(result.why))
+    if (is_out_of_sync(result.cause))
     {
         schedule_retry(m_policy.resync_delay, now);
         return true;
     }
-    if (result.why == reason::target_leaving)
+    if (result.cause == reason::target_leaving)
     {
         m_renounced_by.push_back(owner());
         if (m_ticket_target)
--- a/packages/decision/repeatable_run.cpp
+++ b/packages/decision/repeatable_run.cpp
@@ -33,10 +33,10 @@
         m_earliest_send = now;
     }
     if (m_possible_runs >= m_policy.max_attempts)
-        return give_up(m_last_result->why);
+        return give_up(m_last_result->cause);
     if (m_busy_refusals >= m_policy.max_busy_refusals ||
         m_resyncs >= m_policy.max_resyncs)
-        return give_up(m_last_result->why);
+        return give_up(m_last_result->cause);
     if (now < m_earliest_send)
         return wait_until{std::min(m_earliest_send, m_deadline)};
     return send(budget);
@@ -80,7 +80,7 @@
         m_final_result = result;
         return true;
     }
-    if (is_out_of_sync(result.why))
+    if (is_out_of_sync(result.cause))
     {
         ++m_resyncs;
         m_earliest_send = now + m_policy.resync_delay;
@@ -89,8 +89,8 @@
     m_avoided_targets.push_back(m_target);
     if (result.status == stage_status::refused)
     {
-        const bool is_busy =
-            result.why == reason::queue_full || result.why == reason::too_late;
+        const bool is_busy = result.cause == reason::queue_full ||
+                             result.cause == reason::too_late;
         m_busy_refusals += is_busy ? 1 : 0;
         m_resyncs += is_busy ? 0 : 1;
         return true;
--- a/packages/decision/ticket_book.cpp
+++ b/packages/decision/ticket_issuer.cpp
@@ -1,4 +1,4 @@
-#include "decision/ticket_book.hpp"
+#include "decision/ticket_issuer.hpp"
 
 namespace mangofold::decision
 {
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::uint64_t ticket_book::mint(instant now)
+std::uint64_t ticket_issuer::mint(instant now)
 {
     if (m_marks.empty() || m_marks.back().at + mark_interval <= now)
         m_marks.push_back({m_next_serial, now});
@@ -20,15 +20,15 @@
     return m_next_serial++;
 }
 
-bool ticket_book::is_young(std::uint64_t serial, instant now,
-                           duration horizon) const
+bool ticket_issuer::is_recent(std::uint64_t serial, instant now,
+                              duration horizon) const
 {
     if (serial >= m_next_serial)
         return false;
-    for (auto one = m_marks.rbegin(); one != m_marks.rend(); ++one)
+    for (auto each = m_marks.rbegin(); each != m_marks.rend(); ++each)
     {
-        if (one->first_serial <= serial)
-            return now < one->at + horizon;
+        if (each->first_serial <= serial)
+            return now < each->at + horizon;
     }
     return false;
 }
--- a/tests/decision/execution_ledger_test.cpp
+++ b/tests/decision/execution_ledger_test.cpp
@@ -17,46 +17,46 @@
 
 TEST_SUITE("execution ledger")
 {
-    TEST_CASE("forgets the outcome after the horizon, not that it ran")
+    TEST_CASE("drops outcomes older than the horizon but keeps their keys")
     {
         execution_ledger ledger({10s, 10, 1024});
-        ledger.open(key, {}, instant{});
-        ledger.end(key, outcome, instant{});
+        ledger.add(key, {}, instant{});
+        ledger.set_outcome(key, outcome, instant{});
         CHECK(ledger.body_bytes() == 4);
-        ledger.drop_old_outcomes(instant{10s});
+        ledger.drop_expired_outcomes(instant{10s});
         REQUIRE(ledger.find(key) != nullptr);
         CHECK(ledger.find(key)->status == execution_ledger::state::forgotten);
         CHECK(ledger.body_bytes() == 0);
     }
 
-    TEST_CASE("drops a key only where it is full and the key is old")
+    TEST_CASE("evicts a key only if the ledger is full and the key is old")
     {
         execution_ledger ledger({10s, 1, 1024});
-        ledger.open(key, {}, instant{});
-        CHECK_FALSE(ledger.has_room(instant{1h}));
-        ledger.end(key, outcome, instant{1s});
-        CHECK_FALSE(ledger.has_room(instant{10s}));
-        CHECK(ledger.has_room(instant{21s}));
+        ledger.add(key, {}, instant{});
+        CHECK_FALSE(ledger.make_room(instant{1h}));
+        ledger.set_outcome(key, outcome, instant{1s});
+        CHECK_FALSE(ledger.make_room(instant{10s}));
+        CHECK(ledger.make_room(instant{21s}));
         CHECK(ledger.find(key) == nullptr);
     }
 
-    TEST_CASE("is full when its outcomes take the bytes they may take")
+    TEST_CASE("is full when outcomes reach the byte limit")
     {
         execution_ledger ledger({10s, 10, 4});
-        ledger.open(key, {}, instant{});
-        ledger.end(key, outcome, instant{});
-        CHECK_FALSE(ledger.has_room(instant{1s}));
-        CHECK(ledger.has_room(instant{10s}));
+        ledger.add(key, {}, instant{});
+        ledger.set_outcome(key, outcome, instant{});
+        CHECK_FALSE(ledger.make_room(instant{1s}));
+        CHECK(ledger.make_room(instant{10s}));
     }
 }
 
 TEST_SUITE("recent requests")
 {
-    TEST_CASE("a refused resend of a begun request is not called not run")
+    TEST_CASE("a refused resend of a started request may have run")
     {
-        // The first sending runs in part; its caller loses patience and
-        // sends again. That sending is refused for lack of time. "Not run"
-        // would be false: stages of the request ran.
+        // The first sending runs in part, then the caller resends. The
+        // resend is refused for lack of time, but must not be reported as
+        // "not run", because stages of the request ran.
         recent_requests recent(2);
         recent.note(key, instant{}, 10s);
         CHECK(recent.may_have_begun(key, instant{9s}));
@@ -64,7 +64,7 @@
         CHECK_FALSE(recent.may_have_begun(key, instant{10s}));
     }
 
-    TEST_CASE("what had to be dropped early counts as begun")
+    TEST_CASE("an early dropped request counts as started")
     {
         recent_requests recent(1);
         recent.note(key, instant{}, 10s);
