--- a/packages/decision/target_ends.cpp
+++ b/packages/decision/crash_log.cpp
@@ -1,4 +1,4 @@
-#include "decision/target_ends.hpp"
+#include "decision/crash_log.hpp"
 
 #include "decision/election.hpp"
 
--- a/packages/decision/quarantine.hpp
+++ b/packages/decision/quarantine.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/target_ends.hpp"
+#include "decision/crash_log.hpp"
 
 #include <functional>
 #include <set>
--- a/packages/entry/sidecar_link.hpp
+++ b/packages/entry/sidecar_link.hpp
@@ -2,7 +2,7 @@
 
 #include "configuration/config_store.hpp"
 #include "decision/backoff.hpp"
-#include "decision/target_end.hpp"
+#include "decision/target_crash.hpp"
 #include "entry/dispatcher.hpp"
 #include "entry/mailbox.hpp"
 #include "entry/router.hpp"
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "decision/piece_job.hpp"
+#include "decision/target_crash.hpp"
 #include "decision/target_directory.hpp"
-#include "decision/target_end.hpp"
 #include "decision/zone_evacuations.hpp"
 #include "peer.pb.h"
 #include "serving/asio.hpp"
--- a/packages/sidecar/result_sink.hpp
+++ b/packages/sidecar/result_sink.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/target_end.hpp"
+#include "decision/target_crash.hpp"
 #include "decision/target_gate.hpp"
 
 namespace mangofold::sidecar
--- a/packages/wire/convert.hpp
+++ b/packages/wire/convert.hpp
@@ -2,7 +2,7 @@
 
 #include "decision/stage_result.hpp"
 #include "decision/submission.hpp"
-#include "decision/target_end.hpp"
+#include "decision/target_crash.hpp"
 #include "decision/target_load.hpp"
 
 #include "link.pb.h"
--- a/tests/mutants/quarantine.py
+++ b/tests/mutants/quarantine.py
@@ -5,7 +5,7 @@
 ARGUMENTS = []
 
 QUARANTINE = "packages/decision/quarantine.cpp"
-ENDS = "packages/decision/target_ends.cpp"
+ENDS = "packages/decision/crash_log.cpp"
 
 # Name, file, what is taken out, what takes its place.
 MUTANTS = [
