--- a/bench/ablation/mechanisms.py
+++ b/bench/ablation/mechanisms.py
@@ -9,18 +9,19 @@
 
 MECHANISMS = [
     ("gathering for the fleet", "packages/serving/peer_mesh.cpp",
-     "    const auto found = m_links.find(m_roster.gatherer_of(service));",
+     "    const auto found = m_links.find(m_roster.batching_entry(service));",
      "    if (!service.empty())\n        return nullptr;\n"
-     "    const auto found = m_links.find(m_roster.gatherer_of(service));"),
+     "    const auto found = m_links.find(m_roster.batching_entry(service));"),
     ("one gatherer while all stop", ROSTER,
      "    double largest = 0;",
-     "    if (m_is_stopping)\n        return m_own;\n    double largest = 0;"),
+     "    if (m_is_stopping)\n        return m_own_address;\n    double largest = 0;"),
     ("settling before stages begin", ROSTER,
-     "    if (m_seeds.empty() || !is_young(now))",
-     "    if (m_seeds.empty() || !is_young(now) || !m_own.empty())"),
+     "    if (m_seeds.empty() || !is_discovering(now))",
+     "    if (m_seeds.empty() || !is_discovering(now) ||\n"
+     "        !m_own_address.empty())"),
     ("callers left to entries that go on", ROSTER,
      "    return static_cast<double>(count) >=",
-     "    return m_own.empty() && static_cast<double>(count) >="),
+     "    return m_own_address.empty() && static_cast<double>(count) >="),
     ("zone of results", STAGES,
      "    job.zone = zone_of(stage);", "    job.zone = {};"),
     ("wait for a target of the zone", PLANNER,
--- a/packages/decision/crash_log.cpp
+++ b/packages/decision/crash_log.cpp
@@ -11,171 +11,178 @@
 namespace
 {
 
-/// What is nearly forgotten is not told any more, or entries that noticed an
-/// end at different moments would keep reminding each other of it.
-constexpr duration untold_time = std::chrono::minutes(1);
-
-/// A run counts as begun this long before its end at most. Before, it stood in
-/// its target's queue: what ends a target does so soon after it has begun.
-/// Targets that all end at one moment are then one occasion, however many
-/// copies of a request they ran, and ends further apart are not.
-constexpr duration longest_run = std::chrono::milliseconds(500);
-
-/// How much longer a run must have taken to be told as news.
-constexpr duration run_step = std::chrono::milliseconds(1);
-
-/// Bytes that a target sent before it ended can be read later than its end is
-/// noticed, on another connection: by a turn of a loop that is behind.
-constexpr duration late_bytes = std::chrono::milliseconds(250);
-
-/// The part that is forgotten at once where there are too many.
-constexpr std::size_t forgotten_part = 8;
-
-/// Occasions that make a request a suspect: one may be chance.
-constexpr std::size_t suspect_ends = 2;
-
-/// Adds \a one, which is no older than what was added before: as an occasion
-/// of its own, unless it began before the newest one had ended its target.
-void add_to(std::vector<target_ends::occasion>& occasions,
-            const target_end& one, bool is_shared)
+/// Records this close to the end of their lifetime are not replicated.
+/// Otherwise entries that noticed a crash at different times would keep sending
+/// the record back to those that have already expired it.
+constexpr duration unreplicated_time = std::chrono::minutes(1);
+
+/// A run counts as started this long before the crash at most. A request
+/// that crashes its target does so soon after its execution begins; before
+/// that, it was in the queue of its target. So targets that all crash at the
+/// same time are one incident, however many copies of a request they ran,
+/// while crashes further apart are several.
+constexpr duration max_run_time = std::chrono::milliseconds(500);
+
+/// The resolution of run times: a run must be longer by this much for a record
+/// to change and be replicated again.
+constexpr duration run_time_step = std::chrono::milliseconds(1);
+
+/// Bytes that a target sent before it crashed can be read after the crash was
+/// noticed on another connection, if the event loop is behind. Only an answer
+/// that arrives later than this shows that the target is alive.
+constexpr duration late_read_tolerance = std::chrono::milliseconds(250);
+
+/// An eviction removes one in this many records.
+constexpr std::size_t eviction_divisor = 8;
+
+/// The number of incidents from which a request is a suspect; a single one may
+/// be chance.
+constexpr std::size_t suspect_incidents = 2;
+
+/// Adds \a crash, which must not be older than those added before: to the
+/// newest incident if the run started before the crash of that incident, or as
+/// a new incident.
+void add_to(std::vector<crash_log::incident>& incidents,
+            const target_crash& crash, bool is_shared)
 {
-    if (occasions.empty() || one.began >= occasions.back().ended)
-        occasions.push_back({one.began, one.ended, is_shared});
+    if (incidents.empty() || crash.started_at >= incidents.back().crashed_at)
+        incidents.push_back({crash.started_at, crash.crashed_at, is_shared});
     else if (!is_shared)
-        occasions.back().is_shared = false;
+        incidents.back().is_shared = false;
 }
 
-std::size_t count_of_occasions(const std::vector<const target_end*>& ends)
+std::size_t incident_count(const std::vector<const target_crash*>& crashes)
 {
-    std::vector<target_ends::occasion> occasions;
-    for (const target_end* one : ends)
-        if (!one->is_claim)
-            add_to(occasions, *one, true);
-    return occasions.size();
+    std::vector<crash_log::incident> incidents;
+    for (const target_crash* crash : crashes)
+        if (!crash->is_claim)
+            add_to(incidents, *crash, true);
+    return incidents.size();
 }
 
-/// Returns how long the run of \a one took, as far as that counts.
-duration counted_time(const target_end& one)
+/// Returns the run time of \a crash, limited to the maximum.
+duration counted_run_time(const target_crash& crash)
 {
-    return std::min(one.ended - one.began, longest_run);
+    return std::min(crash.crashed_at - crash.started_at, max_run_time);
 }
 
-duration::rep steps_of(const target_end& one)
+duration::rep run_steps(const target_crash& crash)
 {
-    return counted_time(one) / run_step;
+    return counted_run_time(crash) / run_time_step;
 }
 
-std::uint64_t rank_of(const target_end& one)
+std::uint64_t record_hash(const target_crash& crash)
 {
-    return election_rank(to_text(one.content) + one.target.id,
-                         std::to_string(one.target.born) + " " +
-                             std::to_string(steps_of(one)) +
-                             (one.is_refuted ? " refuted" : ""));
+    return election_rank(to_text(crash.content) + crash.target.id,
+                         std::to_string(crash.target.born) + " " +
+                             std::to_string(run_steps(crash)) +
+                             (crash.is_refuted ? " refuted" : ""));
 }
 
 } // namespace
 
-void target_ends::add(const target_end& one)
+void crash_log::add(const target_crash& crash)
 {
-    m_by_change[++m_changes] = one;
-    if (!one.is_claim)
-        m_newest = std::max(m_newest, one.ended);
-    m_by_content[one.content][one.target] = m_changes;
-    m_by_target[one.target].contents.insert(one.content);
-    m_summary += rank_of(one);
+    m_records[++m_last_change] = crash;
+    if (!crash.is_claim)
+        m_newest_crash_at = std::max(m_newest_crash_at, crash.crashed_at);
+    m_by_content[crash.content][crash.target] = m_last_change;
+    m_by_target[crash.target].contents.insert(crash.content);
+    m_summary += record_hash(crash);
 }
 
-void target_ends::remove(std::uint64_t change)
+void crash_log::remove(std::uint64_t change)
 {
-    const auto found = m_by_change.find(change);
-    const target_end one = found->second;
-    m_by_change.erase(found);
-    m_summary -= rank_of(one);
-    by_target& same = m_by_content[one.content];
-    same.erase(one.target);
-    if (same.empty())
-        m_by_content.erase(one.content);
-    auto& there = m_by_target[one.target].contents;
-    there.erase(one.content);
-    if (there.empty())
-        m_by_target.erase(one.target);
+    const auto found = m_records.find(change);
+    const target_crash crash = found->second;
+    m_records.erase(found);
+    m_summary -= record_hash(crash);
+    changes_by_target& targets = m_by_content[crash.content];
+    targets.erase(crash.target);
+    if (targets.empty())
+        m_by_content.erase(crash.content);
+    auto& contents = m_by_target[crash.target].contents;
+    contents.erase(crash.content);
+    if (contents.empty())
+        m_by_target.erase(crash.target);
 }
 
-// Told again as news, so that it overtakes what was told before.
-void target_ends::replace(std::uint64_t change, const target_end& one)
+// Gets a new change number, so that the record is replicated again.
+void crash_log::replace(std::uint64_t change, const target_crash& crash)
 {
-    const instant alive_at = m_by_target[one.target].alive_at;
+    const instant alive_at = m_by_target[crash.target].alive_at;
     remove(change);
-    add(one);
-    m_by_target[one.target].alive_at = alive_at;
+    add(crash);
+    m_by_target[crash.target].alive_at = alive_at;
 }
 
-// Copies of a request at one target are lost at several entries at once. The
-// one that had been there longest counts at all of them: by different copies
-// they would count different occasions, and some send on what others hold.
-bool target_ends::merge(std::uint64_t change, const target_end& other)
+// Several entries can lose copies of a request on the same target. All of them
+// keep the run time of the copy that ran longest. Otherwise they would count
+// different incidents, and some would send a request that others hold.
+bool crash_log::merge(std::uint64_t change, const target_crash& other)
 {
-    target_end one = m_by_change.at(change);
-    const bool is_longer = steps_of(other) > steps_of(one);
-    const bool is_refuted = one.is_refuted || other.is_refuted;
-    if (!is_longer && is_refuted == one.is_refuted)
+    target_crash merged = m_records.at(change);
+    const bool is_longer = run_steps(other) > run_steps(merged);
+    const bool is_refuted = merged.is_refuted || other.is_refuted;
+    if (!is_longer && is_refuted == merged.is_refuted)
         return false;
     if (is_longer)
-        one.began = one.ended - counted_time(other);
-    one.is_refuted = is_refuted;
-    replace(change, one);
+        merged.started_at = merged.crashed_at - counted_run_time(other);
+    merged.is_refuted = is_refuted;
+    replace(change, merged);
     return true;
 }
 
-bool target_ends::refute(std::uint64_t change)
+bool crash_log::refute(std::uint64_t change)
 {
-    target_end one = m_by_change.at(change);
-    one.is_refuted = true;
-    return merge(change, one);
+    target_crash refuted = m_records.at(change);
+    refuted.is_refuted = true;
+    return merge(change, refuted);
 }
 
-bool target_ends::note(const target_end& one, instant now)
+bool crash_log::note(const target_crash& crash, instant now)
 {
-    if (now >= one.ended + lifetime)
+    if (now >= crash.crashed_at + lifetime)
         return false;
-    const auto content = m_by_content.find(one.content);
+    const auto content = m_by_content.find(crash.content);
     if (content != m_by_content.end())
     {
-        const auto known = content->second.find(one.target);
+        const auto known = content->second.find(crash.target);
         if (known != content->second.end())
-            return merge(known->second, one);
+            return merge(known->second, crash);
     }
-    // Taken again, what was forgotten would push out what is newer.
-    else if (one.ended <= m_forgotten)
+    // A record evicted before would evict a newer one if it were added again.
+    else if (crash.crashed_at <= m_newest_evicted_at)
         return false;
-    target_end shortened = one;
-    shortened.began = one.ended - counted_time(one);
-    add(shortened);
-    if (m_by_change.size() > most)
-        make_room();
+    target_crash limited = crash;
+    limited.started_at = crash.crashed_at - counted_run_time(crash);
+    add(limited);
+    if (m_records.size() > max_size)
+        evict();
     return true;
 }
 
-// Requests under which one target ended are many, mostly those that were there
-// by chance; those under which more did are what must not be forgotten. All
-// entries forget about the same ones, the oldest.
-void target_ends::make_room()
+// Requests with a single crash are many, and most of them were in progress
+// by chance; those with several crashes must be kept. So the former are evicted
+// first, the oldest first, and all entries evict about the same records.
+void crash_log::evict()
 {
-    std::vector<std::pair<std::pair<bool, instant>, std::uint64_t>> order;
-    for (const auto& [change, one] : m_by_change)
-        order.push_back(
-            {{m_by_content[one.content].size() > 1, one.ended}, change});
-    std::sort(order.begin(), order.end());
-    order.resize(most / forgotten_part);
-    for (const auto& [key, change] : order)
+    std::vector<std::pair<std::pair<bool, instant>, std::uint64_t>> evicted;
+    for (const auto& [change, crash] : m_records)
+        evicted.push_back(
+            {{m_by_content[crash.content].size() > 1, crash.crashed_at},
+             change});
+    std::sort(evicted.begin(), evicted.end());
+    evicted.resize(max_size / eviction_divisor);
+    for (const auto& [key, change] : evicted)
     {
         if (!key.first)
-            m_forgotten = std::max(m_forgotten, key.second);
+            m_newest_evicted_at = std::max(m_newest_evicted_at, key.second);
         remove(change);
     }
 }
 
-std::size_t target_ends::note_survived(const digest& content)
+std::size_t crash_log::note_completed(const digest& content)
 {
     const auto found = m_by_content.find(content);
     if (found == m_by_content.end())
@@ -185,11 +192,11 @@
         changes.push_back(change);
     return static_cast<std::size_t>(
         std::count_if(changes.begin(), changes.end(),
-                      [this](std::uint64_t one) { return refute(one); }));
+                      [this](std::uint64_t change) { return refute(change); }));
 }
 
-std::size_t target_ends::note_alive(const target_start& target, instant opened,
-                                    instant now)
+std::size_t crash_log::note_alive(const target_start& target, instant opened,
+                                  instant now)
 {
     const auto found = m_by_target.find(target);
     if (found == m_by_target.end())
@@ -199,16 +206,16 @@
     for (const digest& content : found->second.contents)
     {
         const std::uint64_t change = m_by_content[content][target];
-        const instant ended = m_by_change[change].ended;
-        if (opened < ended && now >= ended + late_bytes)
+        const instant crashed_at = m_records[change].crashed_at;
+        if (opened < crashed_at && now >= crashed_at + late_read_tolerance)
             changes.push_back(change);
     }
     return static_cast<std::size_t>(
         std::count_if(changes.begin(), changes.end(),
-                      [this](std::uint64_t one) { return refute(one); }));
+                      [this](std::uint64_t change) { return refute(change); }));
 }
 
-bool target_ends::has_ended(const target_start& target, instant then) const
+bool crash_log::has_crashed(const target_start& target, instant time) const
 {
     const auto found = m_by_target.find(target);
     if (found == m_by_target.end())
@@ -217,110 +224,113 @@
     return std::any_of(known.contents.begin(), known.contents.end(),
                        [&](const digest& content)
                        {
-                           const target_end& one = m_by_change.at(
+                           const target_crash& crash = m_records.at(
                                m_by_content.at(content).at(target));
-                           return !one.is_refuted && one.ended < then &&
-                                  one.ended >= known.alive_at;
+                           return !crash.is_refuted &&
+                                  crash.crashed_at < time &&
+                                  crash.crashed_at >= known.alive_at;
                        });
 }
 
-std::vector<const target_end*>
-target_ends::unrefuted(const digest& content) const
+std::vector<const target_crash*>
+crash_log::unrefuted(const digest& content) const
 {
-    std::vector<const target_end*> ends;
+    std::vector<const target_crash*> crashes;
     const auto found = m_by_content.find(content);
     if (found == m_by_content.end())
-        return ends;
+        return crashes;
     for (const auto& [target, change] : found->second)
-        if (const target_end& one = m_by_change.at(change); !one.is_refuted)
-            ends.push_back(&one);
-    std::sort(ends.begin(), ends.end(),
-              [](const target_end* left, const target_end* right)
-              { return left->ended < right->ended; });
-    return ends;
+        if (const target_crash& crash = m_records.at(change); !crash.is_refuted)
+            crashes.push_back(&crash);
+    std::sort(crashes.begin(), crashes.end(),
+              [](const target_crash* left, const target_crash* right)
+              { return left->crashed_at < right->crashed_at; });
+    return crashes;
 }
 
-bool target_ends::is_shared(const target_end& one) const
+bool crash_log::is_shared(const target_crash& crash) const
 {
-    const auto& there = m_by_target.at(one.target).contents;
+    const auto& contents = m_by_target.at(crash.target).contents;
     return std::any_of(
-        there.begin(), there.end(),
+        contents.begin(), contents.end(),
         [&](const digest& other)
         {
-            const by_target& ends = m_by_content.at(other);
-            return other != one.content && ends.size() >= suspect_ends &&
-                   !m_by_change.at(ends.at(one.target)).is_refuted &&
-                   count_of_occasions(unrefuted(other)) >= suspect_ends;
+            const changes_by_target& targets = m_by_content.at(other);
+            return other != crash.content &&
+                   targets.size() >= suspect_incidents &&
+                   !m_records.at(targets.at(crash.target)).is_refuted &&
+                   incident_count(unrefuted(other)) >= suspect_incidents;
         });
 }
 
-std::size_t target_ends::finding::shared() const
+std::size_t crash_log::evidence::shared_incident_count() const
 {
-    return static_cast<std::size_t>(
-        std::count_if(occasions.begin(), occasions.end(),
-                      [](const occasion& one) { return one.is_shared; }));
+    return static_cast<std::size_t>(std::count_if(
+        incidents.begin(), incidents.end(),
+        [](const incident& counted) { return counted.is_shared; }));
 }
 
-target_ends::finding target_ends::against(const digest& content) const
+crash_log::evidence crash_log::evidence_against(const digest& content) const
 {
-    finding made;
-    for (const target_end* one : unrefuted(content))
+    evidence found;
+    for (const target_crash* crash : unrefuted(content))
     {
-        if (one->is_claim)
+        if (crash->is_claim)
         {
-            made.claims.push_back({one->target.id, one->ended});
+            found.claims.push_back({crash->target.id, crash->crashed_at});
             continue;
         }
-        add_to(made.occasions, *one, is_shared(*one));
-        made.targets.push_back(one->target);
-        made.last = one->ended;
-        made.claims.clear();
+        add_to(found.incidents, *crash, is_shared(*crash));
+        found.targets.push_back(crash->target);
+        found.last_crash_at = crash->crashed_at;
+        found.claims.clear();
     }
-    return made;
+    return found;
 }
 
-std::vector<digest> target_ends::claimed_since(instant then) const
+std::vector<digest> crash_log::claimed_since(instant time) const
 {
     std::set<digest> found;
-    for (const auto& [change, one] : m_by_change)
-        if (one.is_claim && !one.is_refuted && one.ended > then)
-            found.insert(one.content);
+    for (const auto& [change, crash] : m_records)
+        if (crash.is_claim && !crash.is_refuted && crash.crashed_at > time)
+            found.insert(crash.content);
     return {found.begin(), found.end()};
 }
 
-std::size_t target_ends::contents_with(std::size_t ends) const
+std::size_t crash_log::contents_with_incidents(std::size_t count) const
 {
     return static_cast<std::size_t>(std::count_if(
         m_by_content.begin(), m_by_content.end(),
-        [&](const auto& one)
+        [&](const auto& entry)
         {
-            return one.second.size() >= ends &&
-                   count_of_occasions(unrefuted(one.first)) >= ends;
+            return entry.second.size() >= count &&
+                   incident_count(unrefuted(entry.first)) >= count;
         }));
 }
 
-std::vector<target_end> target_ends::since(std::uint64_t& told,
-                                           std::size_t count, instant now) const
+std::vector<target_crash> crash_log::changes_after(std::uint64_t& last_change,
+                                                   std::size_t max_count,
+                                                   instant now) const
 {
-    std::vector<target_end> news;
-    for (auto one = m_by_change.upper_bound(told);
-         one != m_by_change.end() && news.size() < count; ++one)
+    std::vector<target_crash> changes;
+    for (auto record = m_records.upper_bound(last_change);
+         record != m_records.end() && changes.size() < max_count; ++record)
     {
-        told = one->first;
-        if (now < one->second.ended + lifetime - untold_time)
-            news.push_back(one->second);
+        last_change = record->first;
+        if (now < record->second.crashed_at + lifetime - unreplicated_time)
+            changes.push_back(record->second);
     }
-    return news;
+    return changes;
 }
 
-void target_ends::expire(instant now)
+void crash_log::expire(instant now)
 {
-    std::vector<std::uint64_t> old;
-    for (const auto& [change, one] : m_by_change)
-        if (now >= one.ended + lifetime)
-            old.push_back(change);
-    for (const std::uint64_t one : old)
-        remove(one);
+    std::vector<std::uint64_t> expired;
+    for (const auto& [change, crash] : m_records)
+        if (now >= crash.crashed_at + lifetime)
+            expired.push_back(change);
+    for (const std::uint64_t change : expired)
+        remove(change);
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/crash_log.hpp
+++ b/packages/decision/crash_log.hpp
@@ -13,125 +13,132 @@
 namespace mangofold::decision
 {
 
-/// The ends of targets that all entries together know of, by the requests that
-/// were in progress there.
+/// The replicated record of target crashes, indexed by the content of the
+/// requests that were in progress on the targets.
 ///
-/// Entries tell each other what they know, in any order and more than once:
-/// what is known only grows, and refuted stays refuted, so all come to know
-/// the same.
-class target_ends
+/// Each entry has a copy and sends the changes of its copy to the others, in
+/// any order and possibly more than once. Merging is monotonic (records are
+/// only added, and a refuted record stays refuted), so all copies converge.
+class crash_log
 {
 public:
-    /// How long an end is remembered.
+    /// How long a crash is remembered.
     static constexpr duration lifetime = std::chrono::hours(1);
 
-    /// Ends remembered at most, some 350 bytes each. Each end of a target adds
-    /// one for each request that was in progress there.
-    static constexpr std::size_t most = 4096;
+    /// The maximum number of records, of some 350 bytes each. Each crash of a
+    /// target adds one record for each request that was in progress on it.
+    static constexpr std::size_t max_size = 4096;
 
-    /// Notes an end, seen here or told by another entry. Returns whether it
-    /// was news.
-    bool note(const target_end& one, instant now);
+    /// Records a crash that this entry saw or another entry reported. Returns
+    /// whether the record changed the log.
+    bool note(const target_crash& crash, instant now);
 
-    /// Notes that a run of \a content came to its end and its target lived on:
-    /// what is known against it is refuted. Returns how many ends were.
-    std::size_t note_survived(const digest& content);
+    /// Refutes all crashes recorded for \a content, since a run of it completed
+    /// and its target survived. Returns the number of newly refuted records.
+    std::size_t note_completed(const digest& content);
 
-    /// Notes that an answer came from \a target at \a now on a connection made
-    /// at \a opened: ends in between are refuted, since a process that had
-    /// ended would have taken the connection with it. Returns how many were.
+    /// Notes that \a target answered at \a now on a connection opened at
+    /// \a opened, and refutes its crashes in between: a process that had ended
+    /// would have closed the connection. Returns the number of newly refuted
+    /// records.
     std::size_t note_alive(const target_start& target, instant opened,
                            instant now);
 
-    /// Whether \a target had ended before \a then, as far as is known, and
-    /// has given no answer since.
-    bool has_ended(const target_start& target, instant then) const;
+    /// Whether \a target is known to have crashed before \a time and has not
+    /// answered since.
+    bool has_crashed(const target_start& target, instant time) const;
 
-    /// A run that ended its target, or several at one moment.
-    struct occasion
+    /// One or more overlapping runs of a request that each crashed a target.
+    /// Crashes at about the same time count as one incident.
+    struct incident
     {
-        instant began{};
-        instant ended{};
-        /// Another request of several ends was at each of these targets.
+        instant started_at{};
+        instant crashed_at{};
+        /// Whether another request with several incidents was in progress on
+        /// each of the targets.
         bool is_shared = false;
 
-        friend bool operator==(const occasion&, const occasion&) = default;
+        friend bool operator==(const incident&, const incident&) = default;
     };
 
-    /// An entry where a request waits to be tried.
+    /// An entry's claim to run the next trial of a request.
     struct claim
     {
-        std::string by;
-        instant at{};
+        std::string entry;
+        instant claimed_at{};
 
         friend bool operator==(const claim&, const claim&) = default;
     };
 
-    /// What speaks against a request.
-    struct finding
+    /// The crashes that are held against a request.
+    struct evidence
     {
-        std::vector<occasion> occasions; ///< The oldest first, none overlap.
+        std::vector<incident> incidents; ///< Oldest first, without overlap.
         std::vector<target_start> targets;
-        instant last{};            ///< The newest end.
-        std::vector<claim> claims; ///< To try it, since the newest end.
+        instant last_crash_at{};
+        std::vector<claim> claims; ///< Since the last crash.
 
-        std::size_t ends() const { return occasions.size(); }
-        std::size_t shared() const;
+        std::size_t incident_count() const { return incidents.size(); }
+        std::size_t shared_incident_count() const;
 
-        friend bool operator==(const finding&, const finding&) = default;
+        friend bool operator==(const evidence&, const evidence&) = default;
     };
-    finding against(const digest& content) const;
 
-    /// Returns when the newest end happened, refuted or not.
-    instant newest() const { return m_newest; }
+    /// Returns the crashes of \a content that are not refuted.
+    evidence evidence_against(const digest& content) const;
 
-    /// Returns the requests that entries claimed to try after \a then, sorted.
-    std::vector<digest> claimed_since(instant then) const;
+    /// Returns the time of the newest crash, refuted or not.
+    instant newest_crash_at() const { return m_newest_crash_at; }
 
-    /// Returns how many requests at least \a ends speak against.
-    std::size_t contents_with(std::size_t ends) const;
+    /// Returns the requests whose trial was claimed after \a time, sorted.
+    std::vector<digest> claimed_since(instant time) const;
 
-    /// Returns at most \a count ends that became known after the change
-    /// numbered \a told, which is set to the last one returned.
-    std::vector<target_end> since(std::uint64_t& told, std::size_t count,
-                                  instant now) const;
+    /// Returns the number of requests with at least \a count incidents.
+    std::size_t contents_with_incidents(std::size_t count) const;
 
-    /// Returns a number that differs where two entries know different ends.
+    /// Returns up to \a max_count records added or changed after the change
+    /// numbered \a last_change, and advances \a last_change past them.
+    std::vector<target_crash> changes_after(std::uint64_t& last_change,
+                                            std::size_t max_count,
+                                            instant now) const;
+
+    /// Returns a checksum of all records, by which two entries find out whether
+    /// their logs differ.
     std::uint64_t summary() const { return m_summary; }
 
-    std::size_t size() const { return m_by_change.size(); }
-    bool is_empty() const { return m_by_change.empty(); }
+    std::size_t size() const { return m_records.size(); }
+    bool is_empty() const { return m_records.empty(); }
 
-    /// Forgets what is too old.
+    /// Removes records that are older than the lifetime.
     void expire(instant now);
 
 private:
-    using by_target = std::map<target_start, std::uint64_t>;
+    using changes_by_target = std::map<target_start, std::uint64_t>;
 
-    /// The requests that were in progress when a target ended.
+    /// The requests that were in progress when a target crashed.
     struct suspects
     {
         std::unordered_set<digest, digest_hash> contents;
-        instant alive_at{}; ///< The newest answer since.
+        instant alive_at{}; ///< The newest answer of the target.
     };
 
-    /// Returns the ends that speak against \a content, the oldest first.
-    std::vector<const target_end*> unrefuted(const digest& content) const;
-    bool is_shared(const target_end& one) const;
-    void add(const target_end& one);
+    /// Returns the records of \a content that are not refuted, oldest first.
+    std::vector<const target_crash*> unrefuted(const digest& content) const;
+    bool is_shared(const target_crash& crash) const;
+    void add(const target_crash& crash);
     void remove(std::uint64_t change);
-    void replace(std::uint64_t change, const target_end& one);
-    bool merge(std::uint64_t change, const target_end& other);
+    void replace(std::uint64_t change, const target_crash& crash);
+    bool merge(std::uint64_t change, const target_crash& other);
     bool refute(std::uint64_t change);
-    void make_room();
+    void evict();
 
-    std::map<std::uint64_t, target_end> m_by_change; ///< In order of news.
-    std::unordered_map<digest, by_target, digest_hash> m_by_content;
+    std::map<std::uint64_t, target_crash> m_records; ///< By change number.
+    std::unordered_map<digest, changes_by_target, digest_hash> m_by_content;
     std::unordered_map<target_start, suspects> m_by_target;
-    std::uint64_t m_changes = 0;
+    std::uint64_t m_last_change = 0;
     std::uint64_t m_summary = 0;
-    instant m_newest{};
-    instant m_forgotten{}; ///< The newest end forgotten to make room.
+    instant m_newest_crash_at{};
+    instant m_newest_evicted_at{}; ///< The newest crash that was evicted.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/digest.hpp
+++ b/packages/decision/digest.hpp
@@ -9,7 +9,7 @@
 namespace mangofold::decision
 {
 
-/// A 128-bit digest that stands for a key or a body.
+/// A 128-bit hash that identifies a key or a body.
 struct digest
 {
     std::uint64_t high = 0;
@@ -21,7 +21,8 @@
 /// Returns the digest of \a bytes.
 digest digest_of(std::string_view bytes);
 
-/// Returns the digest of two parts; no other split of the same bytes has it.
+/// Returns the digest of two parts. Another split of the same bytes has another
+/// digest.
 digest digest_of(std::string_view first, std::string_view second);
 
 /// Returns \a value as 32 hexadecimal digits.
--- a/packages/decision/entry_roster.cpp
+++ b/packages/decision/entry_roster.cpp
@@ -11,106 +11,112 @@
 namespace
 {
 
-/// An entry gathers where it has at least this share of the processor of the
-/// largest one. A gatherer answers for the whole fleet. Where entries have a
-/// tenth to a half of a core, the small ones were late by seconds until they
-/// neither gathered nor were asked ten times a second by all others.
-constexpr double enough_of_largest = 0.5;
-
-/// How often an entry that gathers is asked whether it is there, and the time
-/// after which its work goes elsewhere: five questions. Less takes a busy
-/// entry for a dead one, more costs requests their aim.
-constexpr duration close_interval = std::chrono::milliseconds(100);
-constexpr int close_questions = 5;
-
-/// The same for all others, which matter only for what they know of targets
+/// An entry may batch for services if it has at least this share of the cores
+/// of the largest entry, since a batching entry serves the whole fleet. In
+/// fleets whose entries have a tenth to a half of a core, the small entries
+/// were late by seconds as long as they batched or were probed by all others
+/// ten times a second.
+constexpr double min_share_of_largest = 0.5;
+
+/// How often a batching entry is probed, and after how many probe intervals
+/// without an answer its work goes to another entry. With fewer, a busy entry
+/// is taken for a dead one; with more, requests miss their latency goals.
+constexpr duration short_interval = std::chrono::milliseconds(100);
+constexpr int short_timeout_intervals = 5;
+
+/// The same for all other entries, which are only needed as sources of targets
 /// and configuration.
-constexpr duration far_interval = std::chrono::seconds(1);
-constexpr int far_questions = 3;
-
-/// Questions that one entry answers in a second at most, so that the load of
-/// being watched does not grow with the fleet.
-constexpr duration per_asker_close = std::chrono::milliseconds(2);
-constexpr duration per_asker_far = std::chrono::milliseconds(30);
-
-/// Entries that start together do so within some tenths of a second, so that
-/// one that started first hears of nobody for as long. After that, or once all
-/// seeds have answered, nobody new between two questions to a seed says that
-/// all have been heard of.
-constexpr duration least_settling = 5 * close_interval;
-
-/// Stages wait this long at most for a fleet that never comes to rest: a call
-/// or two of theirs, half of what most requests may take in all.
-constexpr duration longest_settling = std::chrono::seconds(1);
-
-/// The share of a settled entry's fleet that a new one knows before it says
-/// who gathers: the few that are missing seldom change an election, and some
-/// may be gone.
-constexpr double enough_known = 0.75;
-
-/// Entries told to stop within this time of each other end at the same time:
-/// what they say of it is late by as much.
-constexpr duration told_together = close_interval;
-
-/// A caller that is sent elsewhere comes to any other entry. Where this share
-/// of all go on, few callers meet a second one that sends them away, for which
-/// most have no further try.
-constexpr double enough_outlast = 0.75;
-
-/// How many other entries one tells of at a time, and how many where the
-/// other knows less than half of them: 4 KB at most.
-constexpr std::size_t told_at_once = 8;
-constexpr std::size_t told_to_new = 200;
+constexpr duration long_interval = std::chrono::seconds(1);
+constexpr int long_timeout_intervals = 3;
+
+/// The minimum probe intervals per entry of the fleet. They bound the number of
+/// probes that one entry answers in a second, so that this load does not grow
+/// with the fleet.
+constexpr duration short_interval_per_entry = std::chrono::milliseconds(2);
+constexpr duration long_interval_per_entry = std::chrono::milliseconds(30);
+
+/// The minimum discovery time unless all seeds have answered. Entries that
+/// start together do so within some tenths of a second, and the first of them
+/// gets no answer for that long. After this time, or once all seeds have
+/// answered, an entry assumes that it knows all others when it finds no new
+/// entry between two probes of a seed.
+constexpr duration min_discovery_time = 5 * short_interval;
+
+/// The maximum discovery time, for a fleet in which new entries keep
+/// appearing. Stages wait for the end of the discovery: this is the time of one
+/// or two of their calls, and half of the time that most requests have in all.
+constexpr duration max_discovery_time = std::chrono::seconds(1);
+
+/// The share of the entries known to a settled entry that a new entry must know
+/// to be settled too. The few missing entries seldom change an election, and
+/// some of them may be gone.
+constexpr double min_known_share = 0.75;
+
+/// Entries that were told to stop within this time of each other count as
+/// ending at the same time, since their reports of it are late by as much.
+constexpr duration simultaneous_stop_window = short_interval;
+
+/// The share of the fleet that must outlast this entry. A caller that this
+/// entry refuses retries at any other entry. If so many entries stay up, few
+/// callers meet a second entry that refuses them; most callers have no retry
+/// left for that.
+constexpr double min_outlasting_share = 0.75;
+
+/// How many other entries are listed in an answer, and how many if the receiver
+/// knows less than half of them: 4 KB at most.
+constexpr std::size_t sample_size = 8;
+constexpr std::size_t sample_size_for_new = 200;
 
 } // namespace
 
 void entry_roster::set_started(std::vector<std::string> seeds, instant now)
 {
-    std::erase(seeds, m_own);
+    std::erase(seeds, m_own_address);
     m_seeds = std::move(seeds);
     m_started_at = now;
     m_newest_at = now;
 }
 
-duration entry_roster::close_interval_of_all() const
+duration entry_roster::scaled_short_interval() const
 {
-    return std::max(close_interval,
-                    per_asker_close * static_cast<duration::rep>(size()));
+    return std::max(short_interval, short_interval_per_entry *
+                                        static_cast<duration::rep>(size()));
 }
 
-// Where all entries start at once, each knows itself and a few others for
-// some tenths of a second. Gathering in that time, each sends its own calls
-// to the same targets: they refuse most of them as full, the others hold a
-// tenth of what they could, and the backlog takes seconds to work off.
-bool entry_roster::is_young(instant now) const
+// If all entries start at once, each knows only itself and a few others for
+// some tenths of a second. If each batched for itself in that time, all would
+// send their own calls to the same targets. The targets refuse most of these
+// calls as full, the others hold a tenth of the pieces that they could, and the
+// backlog takes seconds to work off.
+bool entry_roster::is_discovering(instant now) const
 {
     if (m_others.empty())
-        return now < m_started_at + longest_settling;
-    // The seeds hear of everybody first.
+        return now < m_started_at + max_discovery_time;
+    // Every new entry contacts the seeds first, so they know the others first.
     const bool have_seeds_answered = std::all_of(
         m_seeds.begin(), m_seeds.end(),
-        [this](const std::string& one) { return m_others.contains(one); });
-    const duration least =
-        have_seeds_answered ? duration::zero() : least_settling;
-    const instant calm =
-        std::max(m_newest_at + close_interval_of_all(), m_started_at + least);
-    return now < std::min(calm, m_started_at + longest_settling);
+        [this](const std::string& seed) { return m_others.contains(seed); });
+    const duration min_time =
+        have_seeds_answered ? duration::zero() : min_discovery_time;
+    const instant complete_at = std::max(m_newest_at + scaled_short_interval(),
+                                         m_started_at + min_time);
+    return now < std::min(complete_at, m_started_at + max_discovery_time);
 }
 
-// One that starts in a fleet that goes on waits only until it knows most of
-// it.
+// An entry that joins a running fleet waits only until it knows most of it.
 bool entry_roster::is_settled(instant now) const
 {
-    if (m_seeds.empty() || !is_young(now))
+    if (m_seeds.empty() || !is_discovering(now))
         return true;
     return std::any_of(m_others.begin(), m_others.end(),
-                       [this](const auto& one)
+                       [this](const auto& other)
                        {
-                           const standing& said = one.second;
-                           return said.is_settled &&
+                           const entry_status& status = other.second;
+                           return status.is_settled &&
                                   static_cast<double>(size()) >=
-                                      enough_known *
-                                          static_cast<double>(said.known);
+                                      min_known_share *
+                                          static_cast<double>(
+                                              status.known_entries);
                        });
 }
 
@@ -118,30 +124,30 @@
 {
     m_is_stopping = true;
     m_stopping_since = now;
-    forget_elections();
+    clear_elections();
 }
 
-void entry_roster::set_has_catalog(bool has_it)
+void entry_roster::set_has_catalog(bool has_catalog)
 {
-    if (std::exchange(m_has_catalog, has_it) != has_it)
-        forget_elections();
+    if (std::exchange(m_has_catalog, has_catalog) != has_catalog)
+        clear_elections();
 }
 
-void entry_roster::note_answer(const std::string& address, const standing& said,
-                               instant now)
+void entry_roster::note_answer(const std::string& address,
+                               const entry_status& status, instant now)
 {
-    const auto [at, is_new] = m_others.try_emplace(address, said);
+    const auto [position, is_new] = m_others.try_emplace(address, status);
     if (is_new)
         m_newest_at = now;
-    const standing before = std::exchange(at->second, said);
-    if (said.is_stopping)
-        m_others_stopping.try_emplace(address, now - said.stopping_for);
+    const entry_status before = std::exchange(position->second, status);
+    if (status.is_stopping)
+        m_others_stopping_since.try_emplace(address, now - status.stopping_for);
     else
-        m_others_stopping.erase(address);
-    if (is_new || before.cores != said.cores ||
-        before.is_stopping != said.is_stopping ||
-        before.has_catalog != said.has_catalog)
-        forget_elections();
+        m_others_stopping_since.erase(address);
+    if (is_new || before.cores != status.cores ||
+        before.is_stopping != status.is_stopping ||
+        before.has_catalog != status.has_catalog)
+        clear_elections();
 }
 
 void entry_roster::note_stopping(const std::string& address, instant now)
@@ -149,30 +155,30 @@
     const auto found = m_others.find(address);
     if (found == m_others.end())
         return;
-    m_others_stopping.try_emplace(address, now);
+    m_others_stopping_since.try_emplace(address, now);
     if (!std::exchange(found->second.is_stopping, true))
-        forget_elections();
+        clear_elections();
 }
 
 bool entry_roster::is_outlasted() const
 {
-    const auto goes_on = [this](const auto& one)
+    const auto outlasts = [this](const auto& other)
     {
-        const auto since = m_others_stopping.find(one.first);
-        return since == m_others_stopping.end() ||
-               since->second > m_stopping_since + told_together;
+        const auto since = m_others_stopping_since.find(other.first);
+        return since == m_others_stopping_since.end() ||
+               since->second > m_stopping_since + simultaneous_stop_window;
     };
     const auto count = static_cast<std::size_t>(
-        std::count_if(m_others.begin(), m_others.end(), goes_on));
+        std::count_if(m_others.begin(), m_others.end(), outlasts));
     return static_cast<double>(count) >=
-           enough_outlast * static_cast<double>(size());
+           min_outlasting_share * static_cast<double>(size());
 }
 
 void entry_roster::note_lost(const std::string& address)
 {
-    m_others_stopping.erase(address);
+    m_others_stopping_since.erase(address);
     if (m_others.erase(address) > 0)
-        forget_elections();
+        clear_elections();
 }
 
 void entry_roster::set_services(std::vector<std::string> services)
@@ -180,102 +186,107 @@
     m_services = std::move(services);
 }
 
-// One that is about to end gathers only where no other could: in a restart of
-// the whole fleet that is quicker than its entries end, all of them are, and
-// each gathering for itself would fill no call. One that has just started
-// could only fail what it is asked for until it knows the targets.
-std::vector<std::pair<std::string, double>> entry_roster::able_to_gather() const
+// A stopping entry batches only if no other entry can. In a restart of the
+// whole fleet that is quicker than its entries end, all entries are stopping,
+// and if each batched for itself, no call would be filled. An entry that has
+// just started would fail all work until it knows the targets.
+std::vector<std::pair<std::string, double>>
+entry_roster::eligible_entries() const
 {
     const auto fitness = [](bool has_catalog, bool is_stopping)
     { return std::pair(has_catalog, !is_stopping); };
     auto best = fitness(m_has_catalog, m_is_stopping);
-    std::vector<std::pair<std::string, double>> able{{m_own, m_cores}};
-    for (const auto& [address, one] : m_others)
+    std::vector<std::pair<std::string, double>> eligible{
+        {m_own_address, m_cores}};
+    for (const auto& [address, status] : m_others)
     {
-        const auto its = fitness(one.has_catalog, one.is_stopping);
-        if (its > best)
-            able.clear();
-        best = std::max(best, its);
-        if (its == best)
-            able.emplace_back(address, one.cores);
+        const auto other = fitness(status.has_catalog, status.is_stopping);
+        if (other > best)
+            eligible.clear();
+        best = std::max(best, other);
+        if (other == best)
+            eligible.emplace_back(address, status.cores);
     }
-    return able;
+    return eligible;
 }
 
-const std::string& entry_roster::gatherer_of(const std::string& service) const
+const std::string&
+entry_roster::batching_entry(const std::string& service) const
 {
     const auto known = m_elected.find(service);
     if (known != m_elected.end())
         return known->second;
-    const auto able = able_to_gather();
+    const auto eligible = eligible_entries();
     double largest = 0;
-    for (const auto& [address, cores] : able)
+    for (const auto& [address, cores] : eligible)
         largest = std::max(largest, cores);
     std::vector<std::string> candidates;
-    for (const auto& [address, cores] : able)
-        if (cores >= largest * enough_of_largest)
+    for (const auto& [address, cores] : eligible)
+        if (cores >= largest * min_share_of_largest)
             candidates.push_back(address);
     return m_elected.emplace(service, elected(service, candidates))
         .first->second;
 }
 
-seat entry_roster::seat_for(const std::string& matter) const
+ordinal entry_roster::ordinal_for(const std::string& key) const
 {
-    const std::uint64_t own = election_rank(matter, m_own);
+    const std::uint64_t own = election_rank(key, m_own_address);
     const auto before =
         std::count_if(m_others.begin(), m_others.end(),
-                      [&](const auto& one)
-                      { return election_rank(matter, one.first) < own; });
+                      [&](const auto& other)
+                      { return election_rank(key, other.first) < own; });
     return {static_cast<std::size_t>(before), size()};
 }
 
-bool entry_roster::is_gathering(const std::string& address) const
+bool entry_roster::is_batching(const std::string& address) const
 {
     return std::any_of(m_services.begin(), m_services.end(),
                        [&](const std::string& service)
-                       { return gatherer_of(service) == address; });
+                       { return batching_entry(service) == address; });
 }
 
-std::vector<std::string> entry_roster::some(std::size_t known,
-                                            random_source& random) const
+std::vector<std::string> entry_roster::sample(std::size_t known_entries,
+                                              random_source& random) const
 {
-    const bool is_new_here = known < size() / 2;
-    const std::size_t most = is_new_here ? told_to_new : told_at_once;
+    const bool is_new = known_entries < size() / 2;
+    const std::size_t max_count = is_new ? sample_size_for_new : sample_size;
     std::vector<std::string> found;
     if (!m_is_stopping)
-        found.push_back(m_own);
+        found.push_back(m_own_address);
     if (m_others.empty())
         return found;
-    // A run of neighbours from a random place: in time, all are told.
-    const std::size_t count = std::min(most, m_others.size());
-    auto at =
+    // Consecutive entries from a random one on, so that repeated samples cover
+    // all entries.
+    const std::size_t count = std::min(max_count, m_others.size());
+    auto next =
         std::next(m_others.begin(),
                   static_cast<std::ptrdiff_t>(random.below(m_others.size())));
     for (std::size_t taken = 0; taken < count; ++taken)
     {
-        found.push_back(at->first);
-        if (++at == m_others.end())
-            at = m_others.begin();
+        found.push_back(next->first);
+        if (++next == m_others.end())
+            next = m_others.begin();
     }
     return found;
 }
 
-entry_roster::watch entry_roster::watch_of(const std::string& address,
-                                           bool holds_work, instant now) const
+entry_roster::probe_schedule
+entry_roster::probe_schedule_for(const std::string& address, bool holds_work,
+                                 instant now) const
 {
-    const auto askers = static_cast<duration::rep>(size());
-    // All new entries make themselves known to the seeds, so those know of
-    // the others first.
-    const bool tells_of_others =
+    const auto entries = static_cast<duration::rep>(size());
+    // All new entries contact the seeds, so the seeds know the others first.
+    const bool is_discovery_seed =
         !is_settled(now) &&
         std::find(m_seeds.begin(), m_seeds.end(), address) != m_seeds.end();
-    if (holds_work || tells_of_others || is_gathering(address))
+    if (holds_work || is_discovery_seed || is_batching(address))
     {
-        const duration interval = close_interval_of_all();
-        return {interval, interval * close_questions};
+        const duration interval = scaled_short_interval();
+        return {interval, interval * short_timeout_intervals};
     }
-    const duration interval = std::max(far_interval, per_asker_far * askers);
-    return {interval, interval * far_questions};
+    const duration interval =
+        std::max(long_interval, long_interval_per_entry * entries);
+    return {interval, interval * long_timeout_intervals};
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/entry_roster.hpp
+++ b/packages/decision/entry_roster.hpp
@@ -13,107 +13,114 @@
 namespace mangofold::decision
 {
 
-/// The entries of a fleet as one of them sees it: which answer, who gathers
-/// the pieces of a service, and how closely each is watched.
+/// The membership view of one entry: which other entries are alive, which entry
+/// batches the pieces of which service, and how often to probe each entry.
+///
+/// Every entry elects the batching entry of a service from its own view;
+/// entries with the same view elect the same one, without a coordinator.
 class entry_roster
 {
 public:
-    /// \a cores is what this entry may use of the processor.
-    entry_roster(std::string own, double cores)
-        : m_own(std::move(own)), m_cores(cores)
+    /// \a cores is the processor share of this entry.
+    entry_roster(std::string own_address, double cores)
+        : m_own_address(std::move(own_address)), m_cores(cores)
     {
     }
 
-    const std::string& own() const { return m_own; }
+    const std::string& own_address() const { return m_own_address; }
 
-    /// Notes that this entry started at \a now, knowing \a seeds only.
+    /// Notes that this entry started at \a now and knows only \a seeds.
     void set_started(std::vector<std::string> seeds, instant now);
 
-    /// Whether this entry has seen enough of the fleet to say who gathers.
+    /// Whether this entry knows enough of the fleet to elect batching entries.
     bool is_settled(instant now) const;
 
     /// Notes that this entry was told to stop at \a now.
     void set_stopping(instant now);
 
-    /// Sets whether this entry knows the configuration and a target, without
-    /// which it can gather nothing.
-    void set_has_catalog(bool has_it);
+    /// Sets whether this entry has a configuration and knows a target. It can
+    /// batch for no service without them.
+    void set_has_catalog(bool has_catalog);
 
-    /// What an entry says of itself.
-    struct standing
+    /// The status that an entry reports of itself.
+    struct entry_status
     {
         double cores = 0;
         bool is_stopping = false;
         bool is_settled = false;
-        std::size_t known = 0;    ///< Entries that answer it, itself included.
-        bool has_catalog = false; ///< It knows configuration and a target.
-        duration stopping_for{};  ///< Since it was told to stop.
+        /// The number of live entries that it knows, itself included.
+        std::size_t known_entries = 0;
+        bool has_catalog = false; ///< See set_has_catalog.
+        duration stopping_for{};  ///< Time since it was told to stop.
 
-        friend bool operator==(const standing&, const standing&) = default;
+        friend bool operator==(const entry_status&,
+                               const entry_status&) = default;
     };
 
-    /// Notes an answer of the entry at \a address.
-    void note_answer(const std::string& address, const standing& said,
+    /// Notes that the entry at \a address answered a probe.
+    void note_answer(const std::string& address, const entry_status& status,
                      instant now);
-    /// Notes that it answers no more.
+    /// Notes that the entry at \a address no longer answers.
     void note_lost(const std::string& address);
-    /// Notes that it said, without being asked, that it has just been told
-    /// to stop.
+    /// Notes that the entry at \a address announced, without being probed, that
+    /// it has just been told to stop.
     void note_stopping(const std::string& address, instant now);
 
-    /// Whether most entries go on for longer than this one, which is
-    /// stopping: they run, or were told to stop later.
+    /// Whether most entries stay up for longer than this stopping entry: they
+    /// are not stopping, or were told to stop later.
     bool is_outlasted() const;
 
-    /// Sets the services whose pieces are gathered.
+    /// Sets the services whose pieces are batched.
     void set_services(std::vector<std::string> services);
 
-    /// Returns the entry that gathers the pieces of \a service.
-    const std::string& gatherer_of(const std::string& service) const;
+    /// Returns the address of the entry that batches the pieces of \a service.
+    const std::string& batching_entry(const std::string& service) const;
 
-    /// Returns the number of entries that answer, this one included.
+    /// Returns the number of live entries, this one included.
     std::size_t size() const { return m_others.size() + 1; }
 
-    /// Returns some entries that answer, this one first: a few, or many where
-    /// whoever is told knows only \a known.
-    std::vector<std::string> some(std::size_t known,
-                                  random_source& random) const;
+    /// Returns the addresses of some live entries to send to another entry,
+    /// this one first unless it is stopping: a few, or many if the other entry
+    /// knows less than half of the fleet (\a known_entries).
+    std::vector<std::string> sample(std::size_t known_entries,
+                                    random_source& random) const;
 
-    /// Returns the place of this entry in the order of all for \a matter. Each
-    /// matter has an order of its own, so that no entry is always the first.
-    seat seat_for(const std::string& matter) const;
+    /// Returns the position of this entry in an order of all live entries that
+    /// depends on \a key, so that no entry is always the first.
+    ordinal ordinal_for(const std::string& key) const;
 
-    /// How one entry asks another whether it is there.
-    struct watch
+    /// How one entry probes another to find out whether it is alive.
+    struct probe_schedule
     {
         duration interval{};
-        duration silence{}; ///< After this without an answer it is lost.
+        duration timeout{}; ///< Without an answer for so long, it is lost.
 
-        friend bool operator==(const watch&, const watch&) = default;
+        friend bool operator==(const probe_schedule&,
+                               const probe_schedule&) = default;
     };
 
-    /// Returns how to watch the entry at \a address; \a holds_work tells
-    /// whether it has pieces of this entry's requests.
-    watch watch_of(const std::string& address, bool holds_work,
-                   instant now) const;
+    /// Returns how to probe the entry at \a address. \a holds_work tells
+    /// whether that entry has pieces of this entry's requests.
+    probe_schedule probe_schedule_for(const std::string& address,
+                                      bool holds_work, instant now) const;
 
 private:
-    bool is_young(instant now) const;
-    duration close_interval_of_all() const;
-    void forget_elections() { m_elected.clear(); }
-    std::vector<std::pair<std::string, double>> able_to_gather() const;
-    bool is_gathering(const std::string& address) const;
+    bool is_discovering(instant now) const;
+    duration scaled_short_interval() const;
+    void clear_elections() { m_elected.clear(); }
+    std::vector<std::pair<std::string, double>> eligible_entries() const;
+    bool is_batching(const std::string& address) const;
 
-    std::string m_own;
+    std::string m_own_address;
     double m_cores;
     bool m_is_stopping = false;
     bool m_has_catalog = false;
     instant m_stopping_since{};
-    std::map<std::string, standing> m_others;         ///< Those that answer.
-    std::map<std::string, instant> m_others_stopping; ///< Since when.
-    std::vector<std::string> m_seeds;                 ///< Without this one.
+    std::map<std::string, entry_status> m_others; ///< The live ones.
+    std::map<std::string, instant> m_others_stopping_since;
+    std::vector<std::string> m_seeds; ///< Without this entry.
     instant m_started_at{};
-    instant m_newest_at{}; ///< An entry answered for the first time.
+    instant m_newest_at{}; ///< When an entry last answered for the first time.
     std::vector<std::string> m_services;
     mutable std::unordered_map<std::string, std::string> m_elected;
 };
--- a/packages/decision/quarantine.cpp
+++ b/packages/decision/quarantine.cpp
@@ -8,240 +8,262 @@
 namespace
 {
 
-/// How long a request is kept from targets after its third end, doubled with
-/// each further one: a trial costs a target, with all that runs there, some
-/// seconds.
-constexpr duration first_time = std::chrono::minutes(1);
-constexpr duration longest_time = std::chrono::minutes(10);
-
-/// Entries have their turns to try a request one after the other, each for the
-/// first half of this time. The rest is for the trial to end and for the
-/// others to hear of it, or each entry would lose a target to it.
-constexpr duration turn = std::chrono::seconds(10);
-
-/// A request in doubt is tried once no target has ended for this long, or what
-/// ends them would end its target too: that is found while this one is held. By
-/// then all entries know of each end, too.
+/// How long a request is refused after its third incident. The time doubles
+/// with each further incident up to the maximum, since a trial can cost a
+/// target, and everything that runs on it, some seconds.
+constexpr duration initial_refusal_time = std::chrono::minutes(1);
+constexpr duration max_refusal_time = std::chrono::minutes(10);
+
+/// Entries take turns to run a trial of a refused request. A trial may start in
+/// the first half of a turn. The second half leaves time for the trial to end
+/// and for its outcome to reach the other entries; otherwise each entry would
+/// lose a target to the request.
+constexpr duration turn_time = std::chrono::seconds(10);
+
+/// The trial of a request in doubt starts once no target has crashed for this
+/// long. Otherwise the request that does crash targets could crash the target
+/// of the trial too; it is identified while the request in doubt is held. After
+/// this time all entries also know of each crash.
 constexpr duration quiet_time = std::chrono::milliseconds(500);
 
-/// How long such quiet is waited for.
-constexpr duration longest_unquiet_time = std::chrono::milliseconds(500);
+/// How long a trial is put off for crashes of other requests.
+constexpr duration max_quiet_delay = std::chrono::milliseconds(500);
 
-/// How long the entry that says first that it wants to try a request is waited
-/// for, and how much sooner it must say so to be first at all entries.
+/// How long a claim to a trial is valid, and by how much a claim must precede
+/// another for all entries to see the same one as the first.
 constexpr duration claim_time = std::chrono::seconds(3);
-constexpr duration clearly_sooner = std::chrono::milliseconds(100);
+constexpr duration claim_order_margin = std::chrono::milliseconds(100);
 
-/// How long the outcome of a trial is waited for before another one begins.
+/// How long the outcome of a trial is awaited before another trial may start.
 constexpr duration trial_time = std::chrono::seconds(3);
 
-/// How long it is remembered that a request went well. Where many callers ask
-/// for one thing, copies of it are in progress at each target that ends,
-/// whatever ended it.
+/// For how long after a completed run no crash is held against a request. If
+/// many callers send the same request, copies of it are in progress on each
+/// target that crashes, whatever the cause.
 constexpr duration trusted_time = std::chrono::seconds(10);
 
-/// Requests remembered as gone well at most, 50 bytes each.
-constexpr std::size_t most_trusted = 4096;
+/// The maximum number of requests remembered as served, 50 bytes each.
+constexpr std::size_t max_served_contents = 4096;
 
-duration time_after(std::size_t ends)
+duration refusal_time(std::size_t incidents)
 {
-    duration time = first_time;
-    for (std::size_t one = quarantine::most_ends;
-         one < ends && time < longest_time; ++one)
+    duration time = initial_refusal_time;
+    for (std::size_t count = quarantine::max_incidents;
+         count < incidents && time < max_refusal_time; ++count)
         time *= 2;
-    return std::min(time, longest_time);
+    return std::min(time, max_refusal_time);
 }
 
-bool is_own_turn(duration since, const seat& own)
+bool is_own_turn(duration since, const ordinal& own)
 {
-    const auto number = static_cast<std::size_t>(since / turn);
-    return number % own.of == own.place && since % turn < turn / 2;
+    const auto turn = static_cast<std::size_t>(since / turn_time);
+    return turn % own.count == own.index && since % turn_time < turn_time / 2;
 }
 
-/// Returns the claim that goes before the others, or null. Of two made at about
-/// one time, entries see either one first; their names decide.
-const target_ends::claim* leading(const std::vector<target_ends::claim>& claims,
-                                  instant now)
+/// Returns the valid claim that takes precedence, or null. Entries can receive
+/// two claims of about the same time in either order, so the names of the
+/// claiming entries decide between them.
+const crash_log::claim*
+leading_claim(const std::vector<crash_log::claim>& claims, instant now)
 {
-    const target_ends::claim* first = nullptr;
-    for (const target_ends::claim& one : claims)
+    const crash_log::claim* first = nullptr;
+    for (const crash_log::claim& claim : claims)
     {
-        if (now >= one.at + claim_time)
+        if (now >= claim.claimed_at + claim_time)
             continue;
         const bool is_close =
-            first != nullptr && one.at < first->at + clearly_sooner;
-        if (first == nullptr || (is_close && one.by < first->by))
-            first = &one;
+            first != nullptr &&
+            claim.claimed_at < first->claimed_at + claim_order_margin;
+        if (first == nullptr || (is_close && claim.entry < first->entry))
+            first = &claim;
     }
     return first;
 }
 
 } // namespace
 
-std::set<target_start> kept_for_others(const seat& own,
-                                       std::vector<target_start> targets)
+std::set<target_start>
+targets_reserved_for_others(const ordinal& own,
+                            std::vector<target_start> targets)
 {
     std::sort(targets.begin(), targets.end());
-    std::set<target_start> kept;
-    for (std::size_t at = 0; at < targets.size(); ++at)
-        if (at % own.of != own.place)
-            kept.insert(targets[at]);
-    return kept;
+    std::set<target_start> reserved;
+    for (std::size_t index = 0; index < targets.size(); ++index)
+        if (index % own.count != own.index)
+            reserved.insert(targets[index]);
+    return reserved;
 }
 
-// Told to the other entries like an end, and forgotten with them.
+// A claim is replicated and expires like a crash record.
 void quarantine::note_waiting(const digest& content, instant now)
 {
-    if (leading(m_ends.against(content).claims, now) != nullptr)
+    if (leading_claim(m_crashes.evidence_against(content).claims, now) !=
+        nullptr)
         return;
-    const auto number =
+    const auto claimed_at =
         static_cast<std::uint64_t>(now.time_since_epoch().count());
-    m_ends.note({content, {m_own, number}, now, now, false, true}, now);
+    m_crashes.note({content, {m_own_name, claimed_at}, now, now, false, true},
+                   now);
 }
 
-void quarantine::note_tried(const digest& content, instant now)
+void quarantine::note_trial(const digest& content, instant now)
 {
-    m_tried[content] = now;
+    m_trial_started_at[content] = now;
 }
 
-bool quarantine::is_tried(const digest& content,
-                          const target_ends::finding& found, instant now) const
+bool quarantine::has_trial(const digest& content,
+                           const crash_log::evidence& found, instant now) const
 {
-    const auto tried = m_tried.find(content);
+    const auto started = m_trial_started_at.find(content);
     return m_in_progress.contains(content) ||
-           (tried != m_tried.end() && tried->second > found.last &&
-            now < tried->second + trial_time);
+           (started != m_trial_started_at.end() &&
+            started->second > found.last_crash_at &&
+            now < started->second + trial_time);
 }
 
-// All entries count the same ones, so that requests tried at once, at different
-// entries, go to different targets.
-seat quarantine::place_in_trial(const digest& content, instant now) const
+// All entries count the same contents, so that simultaneous trials of different
+// requests on different entries use different targets.
+ordinal quarantine::trial_ordinal(const digest& content, instant now) const
 {
-    auto tried = m_ends.claimed_since(now - claim_time);
-    std::erase_if(
-        tried, [&](const digest& one)
-        { return leading(m_ends.against(one).claims, now) == nullptr; });
-    const auto own = std::lower_bound(tried.begin(), tried.end(), content);
-    return {static_cast<std::size_t>(own - tried.begin()),
-            std::max<std::size_t>(1, tried.size())};
+    auto claimed = m_crashes.claimed_since(now - claim_time);
+    std::erase_if(claimed,
+                  [&](const digest& other)
+                  {
+                      return leading_claim(
+                                 m_crashes.evidence_against(other).claims,
+                                 now) == nullptr;
+                  });
+    const auto own = std::lower_bound(claimed.begin(), claimed.end(), content);
+    return {static_cast<std::size_t>(own - claimed.begin()),
+            std::max<std::size_t>(1, claimed.size())};
 }
 
-bool quarantine::was_served_lately(const digest& content, instant now) const
+bool quarantine::was_served_recently(const digest& content, instant now) const
 {
-    const auto found = m_served.find(content);
-    return found != m_served.end() && now < found->second + trusted_time;
+    const auto found = m_served_at.find(content);
+    return found != m_served_at.end() && now < found->second + trusted_time;
 }
 
-// A target ends once. What is sent there later and lost, since the list still
-// names it, did not end it.
-bool quarantine::note_end(const target_end& one, instant now)
+// A target process crashes only once. A request that was sent to the target
+// after its crash, since the target list still held it, did not cause the
+// crash.
+bool quarantine::note_crash(const target_crash& crash, instant now)
 {
-    if (was_served_lately(one.content, now) ||
-        m_ends.has_ended(one.target, one.began))
+    if (was_served_recently(crash.content, now) ||
+        m_crashes.has_crashed(crash.target, crash.started_at))
         return false;
-    return m_ends.note(one, now);
+    return m_crashes.note(crash, now);
 }
 
 std::size_t quarantine::note_served(const digest& content, instant now)
 {
-    if (m_served.size() < most_trusted || m_served.contains(content))
-        m_served[content] = now;
-    return m_ends.note_survived(content);
+    if (m_served_at.size() < max_served_contents ||
+        m_served_at.contains(content))
+        m_served_at[content] = now;
+    return m_crashes.note_completed(content);
 }
 
 void quarantine::expire(instant now)
 {
-    m_ends.expire(now);
-    std::erase_if(m_served, [now](const auto& one)
-                  { return now >= one.second + trusted_time; });
-    std::erase_if(m_tried, [now](const auto& one)
-                  { return now >= one.second + trial_time; });
+    m_crashes.expire(now);
+    std::erase_if(m_served_at, [now](const auto& served)
+                  { return now >= served.second + trusted_time; });
+    std::erase_if(m_trial_started_at, [now](const auto& trial)
+                  { return now >= trial.second + trial_time; });
 }
 
 quarantine::verdict
 quarantine::judge(const digest& content, instant now,
-                  const std::function<seat()>& own_seat) const
+                  const std::function<ordinal()>& own_ordinal) const
 {
-    if (m_ends.is_empty() || was_served_lately(content, now))
+    if (m_crashes.is_empty() || was_served_recently(content, now))
         return {};
-    const target_ends::finding found = m_ends.against(content);
-    verdict made{admission::open, found.ends(), {}};
-    if (found.ends() + 1 < most_ends)
-        return made;
-    made.how = admission::apart;
-    if (found.ends() < most_ends)
-        return made;
-    if (is_doubtful(found))
-        return judge_doubtful(content, found, now);
-    // What others saw at these targets is known by then.
-    if (now < found.occasions[most_ends - 1].ended + quiet_time &&
-        own_seat().of > 1)
+    const crash_log::evidence found = m_crashes.evidence_against(content);
+    verdict result{admission::unrestricted, found.incident_count(), {}};
+    if (found.incident_count() + 1 < max_incidents)
+        return result;
+    result.outcome = admission::isolated;
+    if (found.incident_count() < max_incidents)
+        return result;
+    if (is_in_doubt(found))
+        return judge_in_doubt(content, found, now);
+    // By then the crashes that other entries saw on these targets are known.
+    if (now < found.incidents[max_incidents - 1].crashed_at + quiet_time &&
+        own_ordinal().count > 1)
     {
-        made.how = admission::held;
-        return made;
+        result.outcome = admission::held;
+        return result;
     }
-    const instant until = found.last + time_after(found.ends());
-    made.how = admission::refused;
-    made.back_after = now < until ? until - now : turn;
-    if (now >= until && !is_tried(content, found, now) &&
-        is_own_turn(now - until, own_seat()))
-        made.how = admission::trial;
-    return made;
+    const instant until =
+        found.last_crash_at + refusal_time(found.incident_count());
+    result.outcome = admission::refused;
+    result.retry_after = now < until ? until - now : turn_time;
+    if (now >= until && !has_trial(content, found, now) &&
+        is_own_turn(now - until, own_ordinal()))
+        result.outcome = admission::trial;
+    return result;
 }
 
-bool quarantine::is_doubtful(const target_ends::finding& found) const
+bool quarantine::is_in_doubt(const crash_log::evidence& found) const
 {
-    const instant known_at = found.occasions[most_ends - 1].ended + quiet_time;
+    const instant known_at =
+        found.incidents[max_incidents - 1].crashed_at + quiet_time;
     const auto failed_trials = static_cast<std::size_t>(
-        std::count_if(found.occasions.begin(), found.occasions.end(),
-                      [known_at](const target_ends::occasion& one)
-                      { return one.began >= known_at; }));
-    return found.ends() - found.shared() < most_ends &&
-           failed_trials < most_failed_trials;
-}
-
-// Two requests that end targets by turns reach three ends each after what many
-// callers ask for, which is at all of these targets. Refused for its company, a
-// harmless request that had never been served was kept from a service for a
-// minute. Only a run of its own tells, and whoever asks meanwhile is answered
-// by what it shows.
-quarantine::verdict
-quarantine::judge_doubtful(const digest& content,
-                           const target_ends::finding& found, instant now) const
+        std::count_if(found.incidents.begin(), found.incidents.end(),
+                      [known_at](const crash_log::incident& counted)
+                      { return counted.started_at >= known_at; }));
+    return found.incident_count() - found.shared_incident_count() <
+               max_incidents &&
+           failed_trials < max_failed_trials;
+}
+
+// A request that many callers send is in progress on every target that crashes.
+// If two other requests crash targets in turn, the popular request reaches
+// three incidents before either of them. A harmless request that had never been
+// served was refused by a whole service for a minute in this way. Only a run
+// apart from the suspects can show whether it is harmless; resends that arrive
+// meanwhile wait for the outcome of that run.
+quarantine::verdict quarantine::judge_in_doubt(const digest& content,
+                                               const crash_log::evidence& found,
+                                               instant now) const
 {
-    verdict made{admission::held, found.ends(), trial_time};
-    const target_ends::claim* first = leading(found.claims, now);
-    if (first == nullptr || first->by != m_own)
-        return made;
-    const instant quiet_from = std::clamp(m_ends.newest(), found.last,
-                                          found.last + longest_unquiet_time) +
-                               quiet_time;
-    if (now >= std::max(quiet_from, first->at + quiet_time) &&
-        !is_tried(content, found, now))
-        made.how = admission::trial;
-    return made;
+    verdict result{admission::held, found.incident_count(), trial_time};
+    const crash_log::claim* first = leading_claim(found.claims, now);
+    if (first == nullptr || first->entry != m_own_name)
+        return result;
+    const instant quiet_from =
+        std::clamp(m_crashes.newest_crash_at(), found.last_crash_at,
+                   found.last_crash_at + max_quiet_delay) +
+        quiet_time;
+    if (now >= std::max(quiet_from, first->claimed_at + quiet_time) &&
+        !has_trial(content, found, now))
+        result.outcome = admission::trial;
+    return result;
 }
 
-void quarantine::note_begun(const digest& content, const target_start& target)
+void quarantine::note_sent(const digest& content, const target_start& target)
 {
     m_in_progress[content].insert(target);
 }
 
-void quarantine::note_over(const digest& content, const target_start& target)
+void quarantine::note_finished(const digest& content,
+                               const target_start& target)
 {
     const auto found = m_in_progress.find(content);
     if (found == m_in_progress.end())
         return;
-    const auto one = found->second.find(target);
-    if (one != found->second.end())
-        found->second.erase(one);
+    const auto run = found->second.find(target);
+    if (run != found->second.end())
+        found->second.erase(run);
     if (found->second.empty())
         m_in_progress.erase(found);
 }
 
-// Of two requests that were there when a target ended, the one that ended it
-// cannot be told. Kept apart, each is known by what happens next.
-std::set<target_start> quarantine::occupied(const digest& content) const
+// If two suspected requests are in progress on a target that crashes, nothing
+// shows which of them caused the crash. On separate targets, the next crash or
+// the next completed run does.
+std::set<target_start>
+quarantine::targets_of_others(const digest& content) const
 {
     std::set<target_start> found;
     for (const auto& [other, targets] : m_in_progress)
--- a/packages/decision/quarantine.hpp
+++ b/packages/decision/quarantine.hpp
@@ -10,106 +10,114 @@
 namespace mangofold::decision
 {
 
-/// The place of this entry among those that answer, for one matter.
-struct seat
+/// The index of a member in a group that all entries order in the same way,
+/// such as this entry among the live entries.
+struct ordinal
 {
-    std::size_t place = 0; ///< From 0.
-    std::size_t of = 1;
+    std::size_t index = 0;
+    std::size_t count = 1; ///< Of the members.
 
-    friend bool operator==(const seat&, const seat&) = default;
+    friend bool operator==(const ordinal&, const ordinal&) = default;
 };
 
-/// Returns those of \a targets that are left to trials at other places.
-std::set<target_start> kept_for_others(const seat& own,
-                                       std::vector<target_start> targets);
-
-/// Keeps a request under which several targets ended from the others, and lets
-/// one target try it from time to time.
+/// Returns those of \a targets that are reserved for other members: targets are
+/// assigned round-robin, and \a own is the position of the caller.
+std::set<target_start>
+targets_reserved_for_others(const ordinal& own,
+                            std::vector<target_start> targets);
+
+/// Stops sending a request to targets once several targets crashed while they
+/// ran it, and sends it to a single target from time to time to find out
+/// whether it still crashes targets.
+///
+/// Requests are identified by their content, since callers resend them under
+/// new ids and to other entries.
 class quarantine
 {
 public:
-    /// Ends under a request after which it is kept from targets. Two happen to
-    /// a request that was there by chance, and was sent once more; a third
-    /// with none that went well before it hardly does.
-    static constexpr std::size_t most_ends = 3;
+    /// The number of incidents after which a request is sent to no target. A
+    /// request that was in progress by chance can reach two incidents, as it is
+    /// resent once; it hardly reaches a third without a completed run before.
+    static constexpr std::size_t max_incidents = 3;
 
-    /// Runs of it that end their targets after that, where another request of
-    /// several ends was at some of the first three, so that either may have
-    /// ended them.
-    static constexpr std::size_t most_failed_trials = 2;
+    /// The number of trials that crash their targets after which a request in
+    /// doubt is refused. A request is in doubt while another request with
+    /// several incidents was in progress in some of its first three, so that
+    /// either of the two may have crashed the targets.
+    static constexpr std::size_t max_failed_trials = 2;
 
     enum class admission : std::uint8_t
     {
-        open,  ///< To any target.
-        apart, ///< Not to where another request in doubt is in progress.
-        trial, ///< The same, to see whether it still ends its target.
-        held,  ///< Not yet: it is known soon whether it ends its target.
+        unrestricted, ///< Sent to any target.
+        isolated, ///< Sent to no target that runs another suspected request.
+        trial,    ///< As isolated, to find out whether it crashes its target.
+        held,     ///< Waits, since the outcome is known soon.
         refused
     };
 
     struct verdict
     {
-        admission how = admission::open;
-        std::size_t ends = 0;  ///< That speak against it.
-        duration back_after{}; ///< When it may be tried next, if refused.
+        admission outcome = admission::unrestricted;
+        std::size_t incidents = 0; ///< Held against the request.
+        duration retry_after{};    ///< Until the next trial, if refused.
 
         friend bool operator==(const verdict&, const verdict&) = default;
     };
 
-    /// Returns what may be done with \a content now; \a own_seat is asked for
-    /// where it is a matter of whose turn a trial is.
+    /// Decides how to handle a request of \a content now. Calls \a own_ordinal
+    /// only where the entries take turns to run a trial.
     verdict judge(const digest& content, instant now,
-                  const std::function<seat()>& own_seat) const;
+                  const std::function<ordinal()>& own_ordinal) const;
 
-    /// Sets what the other entries call this one.
-    void set_own_name(std::string name) { m_own = std::move(name); }
+    /// Sets the name under which the other entries know this entry.
+    void set_own_name(std::string name) { m_own_name = std::move(name); }
 
-    /// Notes that a request of \a content that is held waits here.
+    /// Claims a trial for a held request of \a content that waits on this
+    /// entry, unless an entry has claimed it already.
     void note_waiting(const digest& content, instant now);
 
-    /// Notes that one that is admitted as a trial goes on.
-    void note_tried(const digest& content, instant now);
+    /// Notes that a request admitted as a trial goes ahead.
+    void note_trial(const digest& content, instant now);
 
-    /// Returns the place of \a content among those that are tried now.
-    seat place_in_trial(const digest& content, instant now) const;
+    /// Returns the position of \a content among the contents that have a trial
+    /// now.
+    ordinal trial_ordinal(const digest& content, instant now) const;
 
-    /// Notes that \a one was lost with its target, as seen here. Returns
-    /// whether that speaks against the request.
-    bool note_end(const target_end& one, instant now);
+    /// Records a crash seen by this entry. Returns whether it is held against
+    /// the request.
+    bool note_crash(const target_crash& crash, instant now);
 
-    /// Notes that a target ran \a content to its end. Returns how many ends
-    /// that refutes.
+    /// Notes that a target completed \a content. Returns the number of crash
+    /// records that this refutes.
     std::size_t note_served(const digest& content, instant now);
 
-    /// Notes that \a content, admitted apart or as a trial, was sent to
-    /// \a target, ...
-    void note_begun(const digest& content, const target_start& target);
-    /// ... and that it is no longer in progress there.
-    void note_over(const digest& content, const target_start& target);
+    /// Notes that \a content, admitted as isolated or as a trial, was sent to
+    /// \a target.
+    void note_sent(const digest& content, const target_start& target);
+    /// Notes that \a content is no longer in progress on \a target.
+    void note_finished(const digest& content, const target_start& target);
 
-    /// Returns the targets where requests in doubt other than \a content are
-    /// in progress.
-    std::set<target_start> occupied(const digest& content) const;
+    /// Returns the targets that run suspected requests other than \a content.
+    std::set<target_start> targets_of_others(const digest& content) const;
 
-    /// Forgets what is too old.
+    /// Removes all records that are too old.
     void expire(instant now);
 
-    target_ends& ends() { return m_ends; }
-    const target_ends& ends() const { return m_ends; }
+    crash_log& crashes() { return m_crashes; }
+    const crash_log& crashes() const { return m_crashes; }
 
 private:
-    bool is_doubtful(const target_ends::finding& found) const;
-    verdict judge_doubtful(const digest& content,
-                           const target_ends::finding& found,
-                           instant now) const;
-    bool is_tried(const digest& content, const target_ends::finding& found,
-                  instant now) const;
-    bool was_served_lately(const digest& content, instant now) const;
-
-    std::string m_own;
-    target_ends m_ends;
-    std::unordered_map<digest, instant, digest_hash> m_tried;
-    std::unordered_map<digest, instant, digest_hash> m_served;
+    bool is_in_doubt(const crash_log::evidence& found) const;
+    verdict judge_in_doubt(const digest& content,
+                           const crash_log::evidence& found, instant now) const;
+    bool has_trial(const digest& content, const crash_log::evidence& found,
+                   instant now) const;
+    bool was_served_recently(const digest& content, instant now) const;
+
+    std::string m_own_name;
+    crash_log m_crashes;
+    std::unordered_map<digest, instant, digest_hash> m_trial_started_at;
+    std::unordered_map<digest, instant, digest_hash> m_served_at;
     std::unordered_map<digest, std::multiset<target_start>, digest_hash>
         m_in_progress;
 };
--- a/packages/decision/target_crash.hpp
+++ b/packages/decision/target_crash.hpp
@@ -7,20 +7,23 @@
 namespace mangofold::decision
 {
 
-/// A target ended while a request was in progress there. One that is refuted
-/// says nothing against the request any more.
-struct target_end
+/// A record that a target process ended while a request was in progress on it,
+/// so that the request is suspected of having crashed the target.
+struct target_crash
 {
     digest content; ///< Of the request, see request_content.
     target_start target;
-    instant began{}; ///< The request was sent there.
-    instant ended{}; ///< Its connection was lost.
+    instant started_at{}; ///< When the request was sent to the target.
+    instant crashed_at{}; ///< When the connection to the target was lost.
+    /// Whether the record no longer counts against the request, since the
+    /// request was served or the target turned out to be alive.
     bool is_refuted = false;
-    /// No end: since `ended`, requests wait at the entry that `target` names
-    /// to be tried.
+    /// Whether the record is a claim to a trial and not a crash: `target.id`
+    /// names an entry where requests of this content have waited for a trial
+    /// since `crashed_at`. Claims are replicated together with the crashes.
     bool is_claim = false;
 
-    friend bool operator==(const target_end&, const target_end&) = default;
+    friend bool operator==(const target_crash&, const target_crash&) = default;
 };
 
 } // namespace mangofold::decision
--- a/packages/entry/caller_api.cpp
+++ b/packages/entry/caller_api.cpp
@@ -162,7 +162,7 @@
     bool is_first = false;
     {
         const std::lock_guard lock(m_mutex);
-        is_first = !m_begun.may_have_begun(key, m_clock.now());
+        is_first = !m_begun.may_have_started(key, m_clock.now());
     }
     std::optional<outcome> ended = refuse_first(parsed, *pipeline, *account);
     if (!ended)
--- a/packages/entry/content_guard.cpp
+++ b/packages/entry/content_guard.cpp
@@ -7,7 +7,7 @@
 
 using decision::quarantine;
 
-void content_guard::set_seat(std::function<decision::seat()> seat)
+void content_guard::set_seat(std::function<decision::ordinal()> seat)
 {
     const std::lock_guard lock(m_mutex);
     m_seat = std::move(seat);
@@ -23,15 +23,15 @@
     using admission = quarantine::admission;
     constexpr decision::duration step = std::chrono::milliseconds(10);
     quarantine::verdict said = judge(content);
-    while (said.how == admission::held && m_clock.now() < deadline)
+    while (said.outcome == admission::held && m_clock.now() < deadline)
     {
         replies.take(step);
         said = judge(content);
     }
-    if (said.how != admission::refused && said.how != admission::held)
+    if (said.outcome != admission::refused && said.outcome != admission::held)
         return std::nullopt;
     ++m_metrics.count({"mangofold_requests_quarantined_total", ""});
-    return said.back_after;
+    return said.retry_after;
 }
 
 quarantine::verdict content_guard::judge(const decision::digest& content)
@@ -39,14 +39,14 @@
     const std::lock_guard lock(m_mutex);
     const decision::instant now = m_clock.now();
     const quarantine::verdict said = m_known.judge(content, now, m_seat);
-    if (said.how == quarantine::admission::held)
+    if (said.outcome == quarantine::admission::held)
         m_known.note_waiting(content, now);
-    if (said.how == quarantine::admission::trial)
-        m_known.note_tried(content, now);
+    if (said.outcome == quarantine::admission::trial)
+        m_known.note_trial(content, now);
     return said;
 }
 
-void content_guard::note_end(const decision::target_end& one)
+void content_guard::note_end(const decision::target_crash& one)
 {
     const std::lock_guard lock(m_mutex);
     const decision::instant now = m_clock.now();
@@ -54,16 +54,17 @@
     const auto seen = std::pair(one.content, one.target);
     if (m_dismissed.contains(seen))
         return;
-    if (!m_known.note_end(one, now))
+    if (!m_known.note_crash(one, now))
         return dismiss(seen);
-    const std::size_t ends = m_known.ends().against(one.content).ends();
+    const std::size_t ends =
+        m_known.crashes().evidence_against(one.content).incident_count();
     ++m_metrics.count({"mangofold_target_ends_total", ""});
     runtime::event("target_ended")
         .with("target", one.target.id)
         .with("content", to_text(one.content))
         .with("ends", ends)
         .warn();
-    if (ends != quarantine::most_ends)
+    if (ends != quarantine::max_incidents)
         return;
     ++m_metrics.count({"mangofold_contents_quarantined_total", ""});
     runtime::event("content_quarantined")
--- a/packages/entry/content_guard.hpp
+++ b/packages/entry/content_guard.hpp
@@ -24,7 +24,7 @@
     }
 
     /// Sets what the place of this entry among all is asked of.
-    void set_seat(std::function<decision::seat()> seat);
+    void set_seat(std::function<decision::ordinal()> seat);
 
     /// Returns when \a content may be sent to a target, where it may not be
     /// sent now. Waits while it is in doubt, until \a deadline; what comes to
@@ -34,7 +34,7 @@
                                                 mailbox& replies);
 
     /// Notes what a sidecar says of its target.
-    void note_end(const decision::target_end& one);
+    void note_end(const decision::target_crash& one);
 
     /// Notes that a target ran \a content to its end.
     void note_served(const decision::digest& content);
@@ -49,7 +49,8 @@
     const runtime::clock& m_clock;
     runtime::metrics& m_metrics;
     std::mutex m_mutex;
-    std::function<decision::seat()> m_seat = [] { return decision::seat(); };
+    std::function<decision::ordinal()> m_seat = []
+    { return decision::ordinal(); };
     decision::quarantine m_known;
     std::set<seen_end> m_dismissed; ///< Ends that speak against nothing.
     decision::instant m_expired_at{};
--- a/packages/entry/entry.cpp
+++ b/packages/entry/entry.cpp
@@ -73,7 +73,7 @@
 
 void entry::add_parts()
 {
-    m_context.note_target_end = [this](const decision::target_end& one)
+    m_context.note_target_end = [this](const decision::target_crash& one)
     { m_runner.contents().note_end(one); };
     // Nobody knows the others' names here: two can have one place.
     m_runner.contents().set_seat(
@@ -81,8 +81,8 @@
         {
             const auto of = static_cast<std::size_t>(m_links.entry_count());
             const auto own = decision::digest_of(m_settings.id).low;
-            return decision::seat{own % std::max<std::size_t>(1, of),
-                                  std::max<std::size_t>(1, of)};
+            return decision::ordinal{own % std::max<std::size_t>(1, of),
+                                     std::max<std::size_t>(1, of)};
         });
     m_store.add_listener([this](const configuration::snapshot_ptr& value)
                          { m_router.configure(value); });
--- a/packages/entry/sidecar_link.hpp
+++ b/packages/entry/sidecar_link.hpp
@@ -39,7 +39,7 @@
     configuration::config_store& store;
     router& routes;
     /// Takes what sidecars say of ends of their targets.
-    std::function<void(const decision::target_end&)> note_target_end = {};
+    std::function<void(const decision::target_crash&)> note_target_end = {};
 };
 
 /// The link to one sidecar: opened again whenever it broke or fell silent.
--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -95,8 +95,8 @@
     decision::engine_choice engines;
     decision::quarantine quarantine;
     /// The place of this entry among all for a matter; alone where unset.
-    std::function<decision::seat(const std::string&)> seat_for =
-        [](const std::string&) { return decision::seat(); };
+    std::function<decision::ordinal(const std::string&)> seat_for =
+        [](const std::string&) { return decision::ordinal(); };
     decision::random_source random;
     /// What is known of the answers to the requests of a route.
     struct route_times
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -135,9 +135,9 @@
 void entry_process::note_quarantine()
 {
     m_context.quarantine.expire(m_context.now());
-    const decision::target_ends& ends = m_context.quarantine.ends();
+    const decision::crash_log& ends = m_context.quarantine.crashes();
     const std::size_t kept_away =
-        ends.contents_with(decision::quarantine::most_ends);
+        ends.contents_with_incidents(decision::quarantine::max_incidents);
     m_context.metrics.set_gauge({"contents_in_quarantine", {}},
                                 static_cast<double>(kept_away));
     m_context.metrics.set_gauge({"target_ends_known", {}},
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -176,8 +176,8 @@
     m_tried.insert(target);
     m_last_target = target;
     m_sends->note_sent();
-    if (m_verdict.how != decision::quarantine::admission::open)
-        m_context.quarantine.note_begun(content(), target);
+    if (m_verdict.outcome != decision::quarantine::admission::unrestricted)
+        m_context.quarantine.note_sent(content(), target);
     m_context.cold.note_sent(target, m_context.warm_up_of(m_service),
                              m_context.entries_sharing(), m_context.now());
     if (is_engine())
@@ -191,8 +191,8 @@
 
 void exchange::note_ended(const decision::target_start& target)
 {
-    if (m_verdict.how != decision::quarantine::admission::open)
-        m_context.quarantine.note_over(content(), target);
+    if (m_verdict.outcome != decision::quarantine::admission::unrestricted)
+        m_context.quarantine.note_finished(content(), target);
     if (!is_engine())
         return;
     if (!m_is_first_read)
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -11,20 +11,21 @@
 awaitable<bool> exchange::is_quarantined()
 {
     using admission = decision::quarantine::admission;
-    if (m_context.quarantine.ends().is_empty())
+    if (m_context.quarantine.crashes().is_empty())
         co_return false;
     judge_content();
-    while (m_verdict.how == admission::held && !is_over() &&
+    while (m_verdict.outcome == admission::held && !is_over() &&
            !m_session->has_left_unseen())
     {
         co_await wait_a_moment();
         judge_content();
     }
-    if (m_verdict.how != admission::refused && m_verdict.how != admission::held)
+    if (m_verdict.outcome != admission::refused &&
+        m_verdict.outcome != admission::held)
         co_return false;
     // One that waited for another's trial is late, and may come back at once.
-    m_refusal = m_verdict.how == admission::held ? refusal::too_late
-                                                 : refusal::quarantined;
+    m_refusal = m_verdict.outcome == admission::held ? refusal::too_late
+                                                     : refusal::quarantined;
     co_return true;
 }
 
@@ -32,22 +33,24 @@
 void exchange::judge_content()
 {
     decision::quarantine& known = m_context.quarantine;
-    if (m_is_trial && known.ends().against(content()).ends() == m_verdict.ends)
+    if (m_is_trial &&
+        known.crashes().evidence_against(content()).incident_count() ==
+            m_verdict.incidents)
         return;
     const instant now = m_context.now();
     m_verdict =
         known.judge(content(), now,
                     [this] { return m_context.seat_for(to_text(content())); });
-    m_is_trial = m_verdict.how == decision::quarantine::admission::trial;
-    if (m_verdict.how == decision::quarantine::admission::held)
+    m_is_trial = m_verdict.outcome == decision::quarantine::admission::trial;
+    if (m_verdict.outcome == decision::quarantine::admission::held)
         known.note_waiting(content(), now);
     if (!m_is_trial)
         return;
-    known.note_tried(content(), now);
+    known.note_trial(content(), now);
     runtime::event("content_tried")
         .with("content", to_text(content()))
         .with("request", m_facts.id)
-        .with("ends", m_verdict.ends)
+        .with("ends", m_verdict.incidents)
         .warn();
 }
 
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -60,7 +60,7 @@
     using seconds = std::chrono::duration<double>;
     if (m_refusal == refusal::quarantined)
         return std::to_string(static_cast<std::uint64_t>(
-            std::ceil(seconds(m_verdict.back_after).count())));
+            std::ceil(seconds(m_verdict.retry_after).count())));
     constexpr double soonest_s = 0.05;
     if (m_refusal == refusal::stopping && m_context.is_outlasted())
         return std::to_string(soonest_s).substr(0, 5);
@@ -162,7 +162,8 @@
                              0, left().count() / 1000000)))
         .with("catalog", m_catalog ? m_catalog->version() : 0);
     if (m_refusal == refusal::quarantined)
-        line.with("content", to_text(content())).with("ends", m_verdict.ends);
+        line.with("content", to_text(content()))
+            .with("ends", m_verdict.incidents);
     line.info();
 }
 
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -57,10 +57,10 @@
 
 const decision::listed_target* exchange::choose_target()
 {
-    if (m_verdict.how == decision::quarantine::admission::open)
+    if (m_verdict.outcome == decision::quarantine::admission::unrestricted)
         return choose_among(m_tried);
     std::set<decision::target_start> left_out =
-        m_context.quarantine.occupied(content());
+        m_context.quarantine.targets_of_others(content());
     left_out.insert(m_tried.begin(), m_tried.end());
     if (m_is_trial && m_context.now() < m_alone_until)
     {
@@ -68,8 +68,9 @@
         for (const auto* one : m_context.directory.serving(m_service))
             targets.push_back(one->start);
         const auto place =
-            m_context.quarantine.place_in_trial(content(), m_context.now());
-        left_out.merge(decision::kept_for_others(place, std::move(targets)));
+            m_context.quarantine.trial_ordinal(content(), m_context.now());
+        left_out.merge(
+            decision::targets_reserved_for_others(place, std::move(targets)));
         return choose_among(left_out);
     }
     const auto* apart = choose_among(left_out);
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -152,7 +152,7 @@
         if (socket->bytes_read() !=
             std::exchange(read_before, socket->bytes_read()))
             m_heard_at = now;
-        if (now - m_heard_at > watch.silence)
+        if (now - m_heard_at > watch.timeout)
         {
             runtime::event("entry_silent").with("entry", m_address).warn();
             m_is_silent = true;
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -47,8 +47,8 @@
     /// Notes that the entry at \a address gives no copy now.
     virtual void note_declined(const std::string& address) = 0;
     /// Returns how to watch the entry at \a address.
-    virtual decision::entry_roster::watch watch_of(const std::string& address,
-                                                   bool holds_work) const = 0;
+    virtual decision::entry_roster::probe_schedule
+    watch_of(const std::string& address, bool holds_work) const = 0;
     /// Notes that the entry at \a address answers no more.
     virtual void note_lost(const std::string& address) = 0;
     /// Takes work back from an entry that stopped answering.
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -25,7 +25,7 @@
     : m_context(context), m_source(source), m_gatherer(own),
       m_roster(context.settings.announced.text(), context.settings.cores)
 {
-    context.quarantine.set_own_name(m_roster.own());
+    context.quarantine.set_own_name(m_roster.own_address());
 }
 
 bool peer_mesh::is_seed(const std::string& address) const
@@ -38,7 +38,7 @@
 
 void peer_mesh::add(const std::string& address)
 {
-    if (address == m_roster.own() || m_links.contains(address))
+    if (address == m_roster.own_address() || m_links.contains(address))
         return;
     try
     {
@@ -58,14 +58,14 @@
 peer_link* peer_mesh::gathering(const std::string& service)
 {
     m_roster.set_has_catalog(m_context.is_informed());
-    const auto found = m_links.find(m_roster.gatherer_of(service));
+    const auto found = m_links.find(m_roster.batching_entry(service));
     return found == m_links.end() ? nullptr : found->second.get();
 }
 
-decision::entry_roster::watch peer_mesh::watch_of(const std::string& address,
-                                                  bool holds_work) const
+decision::entry_roster::probe_schedule
+peer_mesh::watch_of(const std::string& address, bool holds_work) const
 {
-    return m_roster.watch_of(address, holds_work, m_context.now());
+    return m_roster.probe_schedule_for(address, holds_work, m_context.now());
 }
 
 // All entries hear of it at once. They would ask only a second later, and in
@@ -100,7 +100,7 @@
     own.set_catalog_version(m_context.catalog ? m_context.catalog->version()
                                               : 0);
     own.set_targets_digest(m_context.directory.digest());
-    for (const std::string& one : m_roster.some(known, m_context.random))
+    for (const std::string& one : m_roster.sample(known, m_context.random))
         own.add_entries(one);
     own.set_cores(m_context.settings.cores);
     own.set_is_settled(is_settled());
@@ -110,7 +110,7 @@
         own.set_stopping_for_ns(
             (m_context.now() - m_context.drain->began()).count());
     own.set_has_targets(m_context.knows_targets);
-    own.set_ends_summary(m_context.quarantine.ends().summary());
+    own.set_ends_summary(m_context.quarantine.crashes().summary());
     write_zones(m_context.evacuations.known(), own);
     for (const auto& [service, said] : m_gatherer.waits())
     {
--- a/packages/serving/peer_mesh.hpp
+++ b/packages/serving/peer_mesh.hpp
@@ -37,9 +37,9 @@
     bool is_settled() const { return m_roster.is_settled(m_context.now()); }
 
     /// Returns the place of this entry among all for \a matter.
-    decision::seat seat_for(const std::string& matter) const
+    decision::ordinal seat_for(const std::string& matter) const
     {
-        return m_roster.seat_for(matter);
+        return m_roster.ordinal_for(matter);
     }
 
     /// Notes that this entry is about to end.
@@ -59,8 +59,8 @@
     peer::Holding holding() const override { return holding(m_roster.size()); }
     peer::Want note_holding(const std::string& address,
                             const peer::Holding& theirs) override;
-    decision::entry_roster::watch watch_of(const std::string& address,
-                                           bool holds_work) const override;
+    decision::entry_roster::probe_schedule
+    watch_of(const std::string& address, bool holds_work) const override;
     void note_lost(const std::string& address) override;
     void take_catalog(const std::string& address,
                       const std::string& text) override;
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -61,20 +61,20 @@
     return job;
 }
 
-void write_end(const decision::target_end& one, instant now,
+void write_end(const decision::target_crash& one, instant now,
                peer::TargetEnd& message)
 {
     message.set_content_high(one.content.high);
     message.set_content_low(one.content.low);
     message.set_target(one.target.id);
     message.set_born(one.target.born);
-    message.set_began_ago_ns((now - one.began).count());
-    message.set_ended_ago_ns((now - one.ended).count());
+    message.set_began_ago_ns((now - one.started_at).count());
+    message.set_ended_ago_ns((now - one.crashed_at).count());
     message.set_is_refuted(one.is_refuted);
     message.set_is_claim(one.is_claim);
 }
 
-decision::target_end end_of(const peer::TargetEnd& message, instant now)
+decision::target_crash end_of(const peer::TargetEnd& message, instant now)
 {
     // One that another entry says is still to come would never be forgotten.
     const duration ended(std::max<std::int64_t>(0, message.ended_ago_ns()));
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -22,9 +22,9 @@
 decision::piece_job job_of(const peer::Job& message, instant now);
 
 /// The same of an end of a target.
-void write_end(const decision::target_end& one, instant now,
+void write_end(const decision::target_crash& one, instant now,
                peer::TargetEnd& message);
-decision::target_end end_of(const peer::TargetEnd& message, instant now);
+decision::target_crash end_of(const peer::TargetEnd& message, instant now);
 
 /// The same of evacuated zones, in what an entry holds.
 void write_zones(const decision::zone_words& known, peer::Holding& message);
--- a/packages/serving/target_losses.cpp
+++ b/packages/serving/target_losses.cpp
@@ -16,29 +16,30 @@
 constexpr std::size_t worth_a_line = 2;
 
 void log_quarantined(const decision::digest& content,
-                     const decision::target_ends::finding& found)
+                     const decision::crash_log::evidence& found)
 {
     std::string targets;
     for (const decision::target_start& one : found.targets)
         targets += (targets.empty() ? "" : ",") + one.id;
     runtime::event("content_quarantined")
         .with("content", to_text(content))
-        .with("ends", found.ends())
-        .with("shared", found.shared())
+        .with("ends", found.incident_count())
+        .with("shared", found.shared_incident_count())
         .with("targets", targets)
         .warn();
 }
 
 /// Says in the log that \a one is known now, where it was seen here or speaks
 /// against a request of which more is known.
-void log_end(entry_context& context, const decision::target_end& one,
+void log_end(entry_context& context, const decision::target_crash& one,
              std::size_t ends_before, const std::string& request,
              const std::string& from)
 {
     if (one.is_claim)
         return;
-    const auto found = context.quarantine.ends().against(one.content);
-    if (!request.empty() || found.ends() >= worth_a_line)
+    const auto found =
+        context.quarantine.crashes().evidence_against(one.content);
+    if (!request.empty() || found.incident_count() >= worth_a_line)
         runtime::event("target_ended")
             .with("target", one.target.id)
             .with("born", one.target.born)
@@ -46,10 +47,10 @@
             .with("request", request)
             .with("from", from)
             .with("refuted", one.is_refuted ? 1 : 0)
-            .with("ends", found.ends())
+            .with("ends", found.incident_count())
             .warn();
-    if (ends_before >= decision::quarantine::most_ends ||
-        found.ends() < decision::quarantine::most_ends)
+    if (ends_before >= decision::quarantine::max_incidents ||
+        found.incident_count() < decision::quarantine::max_incidents)
         return;
     log_quarantined(one.content, found);
     ++context.metrics.count({"contents_quarantined", ""});
@@ -65,14 +66,15 @@
 
 } // namespace
 
-void note_target_end(entry_context& context, const decision::target_end& one,
+void note_target_end(entry_context& context, const decision::target_crash& one,
                      const std::string& request)
 {
     if (context.directory.is_leaving(one.target))
         return;
     decision::quarantine& known = context.quarantine;
-    const std::size_t before = known.ends().against(one.content).ends();
-    if (!known.note_end(one, context.now()))
+    const std::size_t before =
+        known.crashes().evidence_against(one.content).incident_count();
+    if (!known.note_crash(one, context.now()))
         return;
     ++context.metrics.count({"target_ends", ""});
     log_end(context, one, before, request, "own");
@@ -81,7 +83,8 @@
 void note_served(entry_context& context, const decision::digest& content)
 {
     decision::quarantine& known = context.quarantine;
-    const std::size_t before = known.ends().against(content).ends();
+    const std::size_t before =
+        known.crashes().evidence_against(content).incident_count();
     count_refuted(context, known.note_served(content, context.now()), "served");
     if (before >= worth_a_line)
         runtime::event("content_served")
@@ -93,7 +96,7 @@
 void note_alive(entry_context& context, const decision::target_start& target,
                 instant opened)
 {
-    decision::target_ends& ends = context.quarantine.ends();
+    decision::crash_log& ends = context.quarantine.crashes();
     if (!ends.is_empty())
         count_refuted(context, ends.note_alive(target, opened, context.now()),
                       "alive");
@@ -102,11 +105,12 @@
 void take_ends(entry_context& context, const peer::TargetEnds& message,
                const std::string& from)
 {
-    decision::target_ends& ends = context.quarantine.ends();
+    decision::crash_log& ends = context.quarantine.crashes();
     for (const peer::TargetEnd& message_end : message.ends())
     {
-        const decision::target_end one = end_of(message_end, context.now());
-        const std::size_t before = ends.against(one.content).ends();
+        const decision::target_crash one = end_of(message_end, context.now());
+        const std::size_t before =
+            ends.evidence_against(one.content).incident_count();
         if (ends.note(one, context.now()))
             log_end(context, one, before, {}, from);
     }
@@ -114,12 +118,12 @@
 
 bool end_news::write(peer::TargetEnds& message)
 {
-    const decision::target_ends& ends = m_context.quarantine.ends();
+    const decision::crash_log& ends = m_context.quarantine.crashes();
     if (m_theirs == ends.summary())
         return false;
     const instant now = m_context.now();
-    for (const decision::target_end& one :
-         ends.since(m_told, told_at_once, now))
+    for (const decision::target_crash& one :
+         ends.changes_after(m_told, told_at_once, now))
         write_end(one, now, *message.add_ends());
     return message.ends_size() > 0;
 }
--- a/packages/serving/target_losses.hpp
+++ b/packages/serving/target_losses.hpp
@@ -10,7 +10,7 @@
 
 /// Notes that a target ended while \a request was in progress there, unless
 /// that target was leaving, which is no fault of a request.
-void note_target_end(entry_context& context, const decision::target_end& one,
+void note_target_end(entry_context& context, const decision::target_crash& one,
                      const std::string& request);
 
 /// Notes that a target ran \a content to its end.
@@ -33,7 +33,7 @@
     /// Notes that a new connection was made, on which nothing was told yet.
     void begin_anew() { m_theirs = m_told = 0; }
 
-    /// Notes what the other entry knows, by target_ends::summary().
+    /// Notes what the other entry knows, by crash_log::summary().
     void note_theirs(std::uint64_t summary) { m_theirs = summary; }
 
     /// Writes what the other entry may lack and was not told on this
--- a/packages/sidecar/link_server.cpp
+++ b/packages/sidecar/link_server.cpp
@@ -105,7 +105,7 @@
 void link_server::stream_named(entry_stream& stream, const std::string& entry)
 {
     stream_ptr older;
-    std::deque<decision::target_end> ends;
+    std::deque<decision::target_crash> ends;
     {
         const std::lock_guard lock(m_mutex);
         const auto known = m_by_entry.find(entry);
@@ -122,7 +122,7 @@
     if (older && older.get() != &stream)
         older->end();
     // What ended the target before is new to an entry that has just started.
-    for (const decision::target_end& one : ends)
+    for (const decision::target_crash& one : ends)
         send_end(stream, one, m_keeper.now());
     send_grant(stream);
 }
@@ -161,7 +161,7 @@
     stream->send_stamped(std::move(message));
 }
 
-void link_server::tell_end(const decision::target_end& one)
+void link_server::tell_end(const decision::target_crash& one)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -174,7 +174,7 @@
 }
 
 void link_server::send_end(entry_stream& stream,
-                           const decision::target_end& one,
+                           const decision::target_crash& one,
                            decision::instant now)
 {
     wire::SidecarMessage message;
--- a/packages/sidecar/link_server.hpp
+++ b/packages/sidecar/link_server.hpp
@@ -31,7 +31,7 @@
     void stop() noexcept override;
     bool has_failed() const override { return false; }
 
-    void tell_end(const decision::target_end& one) override;
+    void tell_end(const decision::target_crash& one) override;
     void send(const decision::send_result& result,
               const decision::target_load& load) override;
 
@@ -56,7 +56,8 @@
     void stream_named(entry_stream& stream, const std::string& entry);
     void stream_closed(entry_stream& stream);
     std::vector<std::shared_ptr<entry_stream>> named_streams() const;
-    static void send_end(entry_stream& stream, const decision::target_end& one,
+    static void send_end(entry_stream& stream,
+                         const decision::target_crash& one,
                          decision::instant now);
     void send_grant(entry_stream& stream);
 
@@ -74,7 +75,7 @@
     std::map<decision::link_id, stream_ptr> m_streams;
     std::map<std::string, decision::link_id> m_by_entry;
     decision::link_id m_next_link = 1;
-    std::deque<decision::target_end> m_ends;
+    std::deque<decision::target_crash> m_ends;
 };
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/result_sink.hpp
+++ b/packages/sidecar/result_sink.hpp
@@ -17,7 +17,7 @@
                       const decision::target_load& load) = 0;
 
     /// Tells all entries that the target ended under a run.
-    virtual void tell_end(const decision::target_end& one) = 0;
+    virtual void tell_end(const decision::target_crash& one) = 0;
 };
 
 } // namespace mangofold::sidecar
--- a/packages/wire/convert.cpp
+++ b/packages/wire/convert.cpp
@@ -157,22 +157,23 @@
     return result;
 }
 
-void to_wire(const decision::target_end& one, decision::instant now,
+void to_wire(const decision::target_crash& one, decision::instant now,
              TargetLost& message)
 {
-    const auto ago = std::max(decision::duration::zero(), now - one.ended);
+    const auto ago = std::max(decision::duration::zero(), now - one.crashed_at);
     message.set_ended_ago_us(
         std::chrono::duration_cast<std::chrono::microseconds>(ago).count());
     message.set_content_high(one.content.high);
     message.set_content_low(one.content.low);
     message.set_born(one.target.born);
     message.set_ran_us(std::chrono::duration_cast<std::chrono::microseconds>(
-                           one.ended - one.began)
+                           one.crashed_at - one.started_at)
                            .count());
 }
 
-decision::target_end from_wire(const TargetLost& message,
-                               const std::string& target, decision::instant now)
+decision::target_crash from_wire(const TargetLost& message,
+                                 const std::string& target,
+                                 decision::instant now)
 {
     using microseconds = std::chrono::microseconds;
     const auto least = microseconds::zero();
--- a/packages/wire/convert.hpp
+++ b/packages/wire/convert.hpp
@@ -24,12 +24,12 @@
 /// counts as an unknown outcome.
 decision::stage_result from_wire(const Result& message);
 
-void to_wire(const decision::target_end& one, decision::instant now,
+void to_wire(const decision::target_crash& one, decision::instant now,
              TargetLost& message);
 
 /// Returns the end of \a target in \a message, as of \a now.
-decision::target_end from_wire(const TargetLost& message,
-                               const std::string& target,
-                               decision::instant now);
+decision::target_crash from_wire(const TargetLost& message,
+                                 const std::string& target,
+                                 decision::instant now);
 
 } // namespace mangofold::wire
--- a/tests/decision/entry_roster_test.cpp
+++ b/tests/decision/entry_roster_test.cpp
@@ -10,215 +10,228 @@
 namespace
 {
 
-std::string name(int number)
+std::string address(int number)
 {
     return "10.0.0." + std::to_string(number) + ":1";
 }
 
-/// What a settled entry of a fleet of \a known says.
-entry_roster::standing seen(double cores, bool is_stopping = false,
-                            std::size_t known = 1)
+/// Returns the status of a settled entry that knows \a known_entries.
+entry_roster::entry_status settled_status(double cores,
+                                          bool is_stopping = false,
+                                          std::size_t known_entries = 1)
 {
-    return {cores, is_stopping, true, known};
+    return {cores, is_stopping, true, known_entries};
 }
 
-/// The same of one that has just started.
-entry_roster::standing seen_young()
+/// Returns the status of an entry that has just started.
+entry_roster::entry_status unsettled_status()
 {
     return {1, false, false, 1};
 }
 
-entry_roster fleet(int own, int count, double cores = 1)
+/// Returns the roster of the entry \a own in a fleet of \a count entries.
+entry_roster roster_in_fleet(int own, int count, double cores = 1)
 {
-    entry_roster made(name(own), cores);
-    for (int one = 0; one < count; ++one)
-        if (one != own)
-            made.note_answer(name(one), seen(cores), {});
-    return made;
+    entry_roster roster(address(own), cores);
+    for (int other = 0; other < count; ++other)
+        if (other != own)
+            roster.note_answer(address(other), settled_status(cores), {});
+    return roster;
 }
 
 } // namespace
 
-TEST_CASE("entries that see the same agree on who gathers")
+TEST_CASE("entries with the same view elect the same batching entry")
 {
-    std::set<std::string> chosen;
-    for (int one = 0; one < 6; ++one)
-        chosen.insert(fleet(one, 6).gatherer_of("rerank"));
-    CHECK(chosen.size() == 1);
+    std::set<std::string> elected_entries;
+    for (int own = 0; own < 6; ++own)
+        elected_entries.insert(
+            roster_in_fleet(own, 6).batching_entry("rerank"));
+    CHECK(elected_entries.size() == 1);
 }
 
-TEST_CASE("only the loss of a gatherer moves its service")
+TEST_CASE("only the loss of a batching entry moves its service")
 {
-    entry_roster one = fleet(0, 8);
-    const std::string before = one.gatherer_of("rerank");
+    entry_roster roster = roster_in_fleet(0, 8);
+    const std::string before = roster.batching_entry("rerank");
     for (int other = 1; other < 8; ++other)
-        if (name(other) != before)
-            one.note_lost(name(other));
-    CHECK(one.gatherer_of("rerank") == before);
-    one.note_lost(before);
-    CHECK(one.gatherer_of("rerank") == name(0));
+        if (address(other) != before)
+            roster.note_lost(address(other));
+    CHECK(roster.batching_entry("rerank") == before);
+    roster.note_lost(before);
+    CHECK(roster.batching_entry("rerank") == address(0));
 }
 
-// A fleet has a few entries with half of a core and many with a tenth. A
-// small one that gathers for all can't keep up, and every request that needs
-// its service comes late, although the large ones are idle.
-TEST_CASE("a small entry gathers only where no large one is left")
+// Guards against a small entry that batches for the whole fleet and cannot keep
+// up, so that every request that needs its service is late although the large
+// entries are idle. The fleet has a few entries with half a core and many with
+// a tenth of a core.
+TEST_CASE("a small entry batches only if no large entry is left")
 {
-    entry_roster one(name(0), 0.09);
+    entry_roster roster(address(0), 0.09);
     for (int small = 1; small < 15; ++small)
-        one.note_answer(name(small), seen(0.09), {});
-    one.note_answer("large", seen(0.5), {});
+        roster.note_answer(address(small), settled_status(0.09), {});
+    roster.note_answer("large", settled_status(0.5), {});
     for (int service = 0; service < 50; ++service)
-        CHECK(one.gatherer_of(std::to_string(service)) == "large");
-    one.note_lost("large");
-    CHECK(one.gatherer_of("rerank") != "large");
+        CHECK(roster.batching_entry(std::to_string(service)) == "large");
+    roster.note_lost("large");
+    CHECK(roster.batching_entry("rerank") != "large");
 }
 
-TEST_CASE("an entry that is about to end gathers nothing while another can")
+TEST_CASE("a stopping entry batches nothing while another entry can")
 {
-    entry_roster one = fleet(0, 2);
-    one.note_answer(name(1), seen(1, true), {});
+    entry_roster roster = roster_in_fleet(0, 2);
+    roster.note_answer(address(1), settled_status(1, true), {});
     for (int service = 0; service < 20; ++service)
-        CHECK(one.gatherer_of(std::to_string(service)) == name(0));
-    one.set_stopping(instant(1h));
-    // Where both stop they agree on one of them.
-    entry_roster other = fleet(1, 2);
-    other.note_answer(name(0), seen(1, true), {});
+        CHECK(roster.batching_entry(std::to_string(service)) == address(0));
+    roster.set_stopping(instant(1h));
+    // If both are stopping, they agree on one of them.
+    entry_roster other = roster_in_fleet(1, 2);
+    other.note_answer(address(0), settled_status(1, true), {});
     other.set_stopping(instant(1h));
-    CHECK(one.gatherer_of("rerank") == other.gatherer_of("rerank"));
-    one.note_answer(name(1), seen(1), {});
-    CHECK(one.gatherer_of("rerank") == name(1));
+    CHECK(roster.batching_entry("rerank") == other.batching_entry("rerank"));
+    roster.note_answer(address(1), settled_status(1), {});
+    CHECK(roster.batching_entry("rerank") == address(1));
 }
 
-// A gatherer that dies holds pieces of many requests with an aim of a second
-// or two: it must be missed soon. Asking everybody that often took a small
-// entry of a fleet of 23 most of its processor time.
-TEST_CASE("gatherers are watched closely, all others seldom")
+// A batching entry that dies holds pieces of many requests with a latency goal
+// of a second or two, so its loss must be detected soon. Probing all entries
+// that often took a small entry of a fleet of 23 most of its processor time.
+TEST_CASE("batching entries are probed often, all others seldom")
 {
-    entry_roster one = fleet(0, 23);
-    one.set_services({"encode", "rerank"});
-    int close = 0;
+    entry_roster roster = roster_in_fleet(0, 23);
+    roster.set_services({"encode", "rerank"});
+    int batching = 0;
     for (int other = 1; other < 23; ++other)
     {
-        const auto watch = one.watch_of(name(other), false, {});
-        const bool gathers = one.gatherer_of("encode") == name(other) ||
-                             one.gatherer_of("rerank") == name(other);
-        CHECK((watch.interval == 100ms) == gathers);
-        CHECK(watch.silence >= watch.interval * 3);
-        close += gathers ? 1 : 0;
+        const auto schedule =
+            roster.probe_schedule_for(address(other), false, {});
+        const bool is_batching =
+            roster.batching_entry("encode") == address(other) ||
+            roster.batching_entry("rerank") == address(other);
+        CHECK((schedule.interval == 100ms) == is_batching);
+        CHECK(schedule.timeout >= schedule.interval * 3);
+        batching += is_batching ? 1 : 0;
     }
-    CHECK(close <= 2);
+    CHECK(batching <= 2);
 }
 
-TEST_CASE("the questions that an entry answers do not grow with the fleet")
+TEST_CASE("the rate of probes to an entry does not grow with the fleet")
 {
-    entry_roster one = fleet(0, 1400);
-    one.set_services({"encode"});
-    // 500 questions a second from all of them together.
-    CHECK(one.watch_of(one.gatherer_of("encode"), false, {}).interval >=
-          1400 * 2ms);
-    const std::string far =
-        one.gatherer_of("encode") == name(1) ? name(2) : name(1);
-    CHECK(one.watch_of(far, false, {}).interval >= 1400 * 20ms);
+    entry_roster roster = roster_in_fleet(0, 1400);
+    roster.set_services({"encode"});
+    // 500 probes a second from all entries together.
+    CHECK(roster.probe_schedule_for(roster.batching_entry("encode"), false, {})
+              .interval >= 1400 * 2ms);
+    const std::string not_batching =
+        roster.batching_entry("encode") == address(1) ? address(2) : address(1);
+    CHECK(roster.probe_schedule_for(not_batching, false, {}).interval >=
+          1400 * 20ms);
 }
 
-TEST_CASE("in time an entry tells of all the others")
+TEST_CASE("repeated samples cover all entries")
 {
-    const entry_roster one = fleet(0, 40);
+    const entry_roster roster = roster_in_fleet(0, 40);
     random_source random(3);
-    std::set<std::string> told;
+    std::set<std::string> listed;
     for (int round = 0; round < 60; ++round)
     {
-        const auto some = one.some(40, random);
-        CHECK(some.size() == 9);
-        CHECK(some.front() == name(0));
-        told.insert(some.begin(), some.end());
+        const auto sample = roster.sample(40, random);
+        CHECK(sample.size() == 9);
+        CHECK(sample.front() == address(0));
+        listed.insert(sample.begin(), sample.end());
     }
-    CHECK(told.size() == 40);
+    CHECK(listed.size() == 40);
 }
 
-TEST_CASE("an entry that knows few is told of many at once")
+TEST_CASE("the sample for an entry that knows few others is large")
 {
-    const entry_roster one = fleet(0, 40);
+    const entry_roster roster = roster_in_fleet(0, 40);
     random_source random(3);
-    CHECK(one.some(3, random).size() == 40);
+    CHECK(roster.sample(3, random).size() == 40);
 }
 
-// After all entries were killed, requests are late or refused for four to six
-// seconds, although the targets are idle at first.
-// 1. All entries start within half a second. 2. Each knows itself and the few
-// seeds that are up. 3. Each gathers for itself: targets refuse most calls as
-// full, the rest hold a tenth of what they could. 4. What piled up meanwhile
-// makes the next seconds late too.
-TEST_CASE("entries that start together wait until nobody new is heard of")
+// Guards against requests that are late or refused for four to six seconds
+// after a restart of all entries, although the targets are idle at first. All
+// entries start within half a second, and each knows only itself and the few
+// seeds that are up. If each batched for itself, the targets would refuse most
+// calls as full, the other calls would hold a tenth of the pieces that they
+// could, and the backlog would make the requests of the next seconds late too.
+TEST_CASE("entries that start together wait until they find no new entry")
 {
     const instant start{};
-    entry_roster one(name(0), 1);
-    one.set_started({name(0), name(1), name(2)}, start);
-    CHECK_FALSE(one.is_settled(start));
-    CHECK_FALSE(one.is_settled(start + 550ms));
-    one.note_answer(name(1), seen_young(), start + 460ms);
-    CHECK_FALSE(one.is_settled(start + 550ms));
-    one.note_answer(name(2), seen_young(), start + 560ms);
-    CHECK_FALSE(one.is_settled(start + 650ms));
-    CHECK(one.is_settled(start + 660ms));
+    entry_roster roster(address(0), 1);
+    roster.set_started({address(0), address(1), address(2)}, start);
+    CHECK_FALSE(roster.is_settled(start));
+    CHECK_FALSE(roster.is_settled(start + 550ms));
+    roster.note_answer(address(1), unsettled_status(), start + 460ms);
+    CHECK_FALSE(roster.is_settled(start + 550ms));
+    roster.note_answer(address(2), unsettled_status(), start + 560ms);
+    CHECK_FALSE(roster.is_settled(start + 650ms));
+    CHECK(roster.is_settled(start + 660ms));
 }
 
-// The last of them to start waits no longer than the first.
-TEST_CASE("an entry that has heard all seeds waits for quiet only")
+// The last of the entries to start must not wait longer than the first.
+TEST_CASE("once all seeds have answered, an entry waits only for new entries")
 {
     const instant start{};
-    entry_roster one(name(0), 1);
-    one.set_started({name(1), name(2)}, start);
-    one.note_answer(name(1), seen_young(), start + 10ms);
-    CHECK_FALSE(one.is_settled(start + 300ms));
-    one.note_answer(name(2), seen_young(), start + 20ms);
-    CHECK_FALSE(one.is_settled(start + 110ms));
-    CHECK(one.is_settled(start + 120ms));
+    entry_roster roster(address(0), 1);
+    roster.set_started({address(1), address(2)}, start);
+    roster.note_answer(address(1), unsettled_status(), start + 10ms);
+    CHECK_FALSE(roster.is_settled(start + 300ms));
+    roster.note_answer(address(2), unsettled_status(), start + 20ms);
+    CHECK_FALSE(roster.is_settled(start + 110ms));
+    CHECK(roster.is_settled(start + 120ms));
 }
 
-// A fleet that never comes to rest must not hold stages back for ever.
-TEST_CASE("an entry waits a second at most for the others")
+// Guards against stages that wait forever in a fleet in which new entries keep
+// appearing.
+TEST_CASE("an entry is settled after a second at most")
 {
     const instant start{};
-    entry_roster one(name(0), 1);
-    one.set_started({name(1)}, start);
+    entry_roster roster(address(0), 1);
+    roster.set_started({address(1)}, start);
     for (int other = 1; other < 30; ++other)
-        one.note_answer(name(other), seen_young(), start + other * 50ms);
-    CHECK_FALSE(one.is_settled(start + 900ms));
-    CHECK(one.is_settled(start + 1s));
+        roster.note_answer(address(other), unsettled_status(),
+                           start + other * 50ms);
+    CHECK_FALSE(roster.is_settled(start + 900ms));
+    CHECK(roster.is_settled(start + 1s));
 }
 
-// In a rolling restart requests must not wait for nothing.
-TEST_CASE("an entry that starts in a fleet waits until it knows most of it")
+// Guards against needless waiting of requests in a rolling restart.
+TEST_CASE("an entry that joins a running fleet waits until it knows most of it")
 {
     const instant start{};
-    entry_roster one(name(0), 1);
-    one.set_started({name(1)}, start);
-    one.note_answer(name(1), seen(1, false, 20), start + 5ms);
-    CHECK_FALSE(one.is_settled(start + 5ms));
+    entry_roster roster(address(0), 1);
+    roster.set_started({address(1)}, start);
+    roster.note_answer(address(1), settled_status(1, false, 20), start + 5ms);
+    CHECK_FALSE(roster.is_settled(start + 5ms));
     for (int other = 2; other < 15; ++other)
-        one.note_answer(name(other), seen(1, false, 20), start + 20ms);
-    CHECK(one.is_settled(start + 20ms));
+        roster.note_answer(address(other), settled_status(1, false, 20),
+                           start + 20ms);
+    CHECK(roster.is_settled(start + 20ms));
 }
 
-TEST_CASE("an entry that is alone waits for nobody")
+TEST_CASE("an entry without other seeds is settled at once")
 {
-    entry_roster one(name(0), 1);
-    one.set_started({name(0)}, {});
-    CHECK(one.is_settled({}));
+    entry_roster roster(address(0), 1);
+    roster.set_started({address(0)}, {});
+    CHECK(roster.is_settled({}));
 }
 
-// 1. All new entries tell the seeds of themselves. 2. Asked once a second, a
-// seed told of the others a second later.
-TEST_CASE("a new entry asks the seeds closely until it is settled")
+// Guards against entries that learn of each other a second late. All new
+// entries contact the seeds; a seed that is probed once a second reports them
+// with that delay.
+TEST_CASE("a new entry probes the seeds often until it is settled")
 {
     const instant start{};
-    entry_roster one(name(0), 1);
-    one.set_started({name(1)}, start);
-    one.note_answer(name(1), seen_young(), start);
-    one.note_answer(name(2), seen_young(), start);
-    CHECK(one.watch_of(name(1), false, start).interval == 100ms);
-    CHECK(one.watch_of(name(2), false, start).interval == 1s);
-    CHECK(one.watch_of(name(1), false, start + 2s).interval == 1s);
+    entry_roster roster(address(0), 1);
+    roster.set_started({address(1)}, start);
+    roster.note_answer(address(1), unsettled_status(), start);
+    roster.note_answer(address(2), unsettled_status(), start);
+    CHECK(roster.probe_schedule_for(address(1), false, start).interval ==
+          100ms);
+    CHECK(roster.probe_schedule_for(address(2), false, start).interval == 1s);
+    CHECK(roster.probe_schedule_for(address(1), false, start + 2s).interval ==
+          1s);
 }
--- a/tests/decision/execution_ledger_test.cpp
+++ b/tests/decision/execution_ledger_test.cpp
@@ -59,9 +59,9 @@
         // would be false: stages of the request ran.
         recent_requests recent(2);
         recent.note(key, instant{}, 10s);
-        CHECK(recent.may_have_begun(key, instant{9s}));
-        CHECK_FALSE(recent.may_have_begun(digest_of("r2"), instant{9s}));
-        CHECK_FALSE(recent.may_have_begun(key, instant{10s}));
+        CHECK(recent.may_have_started(key, instant{9s}));
+        CHECK_FALSE(recent.may_have_started(digest_of("r2"), instant{9s}));
+        CHECK_FALSE(recent.may_have_started(key, instant{10s}));
     }
 
     TEST_CASE("what had to be dropped early counts as begun")
@@ -70,7 +70,7 @@
         recent.note(key, instant{}, 10s);
         recent.note(digest_of("r2"), instant{1s}, 10s);
         CHECK(recent.size() == 1);
-        CHECK(recent.may_have_begun(key, instant{2s}));
-        CHECK_FALSE(recent.may_have_begun(key, instant{11s}));
+        CHECK(recent.may_have_started(key, instant{2s}));
+        CHECK_FALSE(recent.may_have_started(key, instant{11s}));
     }
 }
--- a/tests/decision/quarantine_mixed_world.hpp
+++ b/tests/decision/quarantine_mixed_world.hpp
@@ -12,110 +12,113 @@
 
 using namespace std::chrono_literals;
 
-/// What ends targets has a number below this.
+/// Contents with a lower number crash targets.
 constexpr std::uint64_t harmless_from = 100;
 
-/// Entries around the real quarantine, a few targets that are back some time
-/// after they ended, and callers who ask again and again: for things that end
-/// each target soon after they begin, and for one harmless thing that takes
-/// longer.
-class mixed_world
+/// A simulation of entries that use the real quarantine, of a few targets that
+/// restart some time after a crash, and of callers that send requests again and
+/// again: poison requests, each of which crashes its target soon after it
+/// starts, and one harmless request that takes longer.
+class mixed_load_model
 {
 public:
-    mixed_world(std::uint64_t seed, std::size_t poisons, std::size_t targets,
-                std::size_t entries)
+    mixed_load_model(std::uint64_t seed, std::size_t poisons,
+                     std::size_t targets, std::size_t entries)
         : m_random(seed), m_entries(entries), m_targets(targets)
     {
-        for (std::size_t one = 0; one < poisons; ++one)
-            m_callers.push_back({{0, one}, m_now});
-        for (std::size_t one = 0; one < harmless_callers; ++one)
+        for (std::size_t number = 0; number < poisons; ++number)
+            m_callers.push_back({{0, number}, m_now});
+        for (std::size_t count = 0; count < harmless_callers; ++count)
             m_callers.push_back({{0, harmless_from}, m_now + up_to(50ms)});
-        for (caller& one : m_callers)
-            one.entry = m_random() % entries;
-        for (std::size_t one = 0; one < entries; ++one)
-            m_entries[one].known.set_own_name("e" + std::to_string(one));
+        for (caller& source : m_callers)
+            source.entry = m_random() % entries;
+        for (std::size_t index = 0; index < entries; ++index)
+            m_entries[index].guard.set_own_name("e" + std::to_string(index));
     }
 
-    void pass(duration time)
+    /// Advances the simulated time.
+    void advance(duration time)
     {
         constexpr duration step = 5ms;
         for (const instant end = m_now + time; m_now < end; m_now += step)
         {
-            end_runs();
-            for (std::size_t one = 0; one < m_callers.size(); ++one)
-                if (!m_callers[one].is_waiting && m_now >= m_callers[one].next)
-                    ask(one);
+            finish_runs();
+            for (std::size_t index = 0; index < m_callers.size(); ++index)
+                if (!m_callers[index].is_waiting &&
+                    m_now >= m_callers[index].next_send)
+                    send(index);
             send_waiting();
-            for (std::size_t one = 0; one < m_entries.size(); ++one)
-                if (m_now >= m_entries[one].next_told)
-                    tell(one);
+            for (std::size_t index = 0; index < m_entries.size(); ++index)
+                if (m_now >= m_entries[index].next_replication)
+                    replicate(index);
         }
     }
 
     std::size_t harmless_refused() const { return m_harmless_refused; }
-    /// Returns how many waited until their time was over.
-    std::size_t harmless_late() const { return m_harmless_late; }
-    std::size_t harmless_asked() const { return m_harmless_asked; }
+    /// Returns the number of harmless requests that timed out.
+    std::size_t harmless_timed_out() const { return m_harmless_timed_out; }
+    std::size_t harmless_sent() const { return m_harmless_sent; }
     std::size_t harmless_served() const { return m_harmless_served; }
 
-    /// Returns the most sendings of one request that reached targets when it
-    /// should have been known to end them.
-    std::size_t most_late() const
+    /// Returns the maximum, over the poison requests, of the sends that reached
+    /// a target after all entries should have known the request.
+    std::size_t max_late_sends() const
     {
-        std::size_t most = 0;
-        for (const suspect& one : m_suspects)
-            most = std::max(most, one.late);
-        return most;
+        std::size_t max = 0;
+        for (const poison_stats& counted : m_poison_stats)
+            max = std::max(max, counted.late_sends);
+        return max;
     }
 
 private:
     static constexpr std::size_t harmless_callers = 8;
-    static constexpr duration harmless_time = 150ms;
-    static constexpr duration poison_time = 30ms;
-    static constexpr duration longest_wait = 3s;
-    static constexpr duration known_time = 1s; ///< For all entries.
+    static constexpr duration harmless_run_time = 150ms;
+    static constexpr duration poison_run_time = 30ms;
+    static constexpr duration max_wait = 3s;
+    /// How long the replication of the crashes to all entries may take.
+    static constexpr duration replication_time = 1s;
 
     struct caller
     {
         digest content;
-        instant next;
-        std::size_t entry = 0; ///< Where it has a connection.
+        instant next_send;
+        std::size_t entry = 0; ///< The entry that it is connected to.
         bool is_waiting = false;
     };
 
-    /// A request that ends targets.
-    struct suspect
+    /// The statistics of a poison request.
+    struct poison_stats
     {
-        std::size_t ended = 0;
+        std::size_t crashes = 0;
         instant known_from = instant::max();
-        std::size_t late = 0; ///< Sent to targets after that.
+        std::size_t late_sends = 0; ///< To targets, from then on.
     };
 
     struct entry
     {
-        quarantine known;
-        instant next_told{};
-        std::uint64_t told = 0;
+        quarantine guard;
+        instant next_replication{};
+        std::uint64_t last_change = 0;
     };
 
     struct target
     {
         std::uint64_t born = 1;
-        instant up_at{};
+        instant restarts_at{};
     };
 
     struct request
     {
         digest content;
-        std::size_t at = 0; ///< Its entry.
-        std::size_t asked_by = 0;
-        instant came;
-        bool is_apart = false;
+        std::size_t entry = 0; ///< The entry that handles it.
+        std::size_t caller = 0;
+        instant arrived_at;
+        bool is_isolated = false;
         bool is_trial = false;
-        std::size_t ends = 0; ///< Known when it was admitted.
-        instant alone_until{};
+        std::size_t incidents = 0; ///< Known when it was admitted.
+        instant reserved_until{};
         std::size_t target = 0;
-        instant began;
+        instant started_at;
     };
 
     static bool is_poison(const digest& content)
@@ -129,190 +132,196 @@
             m_random() % static_cast<std::uint64_t>(time.count())));
     }
 
-    target_start start_of(std::size_t one) const
+    target_start start_of(std::size_t index) const
     {
-        return {"t" + std::to_string(one), m_targets[one].born};
+        return {"t" + std::to_string(index), m_targets[index].born};
     }
 
-    // Who asks for what ends targets does so whatever it gets, from anywhere.
-    // All others ask again once they have an answer, mostly where they did.
-    void ask(std::size_t number)
+    // Callers of poison requests send without waiting for an answer, each time
+    // to a random entry. All other callers send again once they have an answer,
+    // mostly to the same entry.
+    void send(std::size_t number)
     {
-        caller& one = m_callers[number];
-        const bool asks_anew = is_poison(one.content);
-        if (asks_anew || m_random() % 10 == 0)
-            one.entry = m_random() % m_entries.size();
-        one.is_waiting = !asks_anew;
-        one.next = m_now + 20ms + up_to(480ms);
-        m_harmless_asked += asks_anew ? 0 : 1;
-        request made;
-        made.content = one.content;
-        made.at = one.entry;
-        made.asked_by = number;
-        made.came = m_now;
-        m_waiting.push_back(made);
+        caller& source = m_callers[number];
+        const bool has_poison = is_poison(source.content);
+        if (has_poison || m_random() % 10 == 0)
+            source.entry = m_random() % m_entries.size();
+        source.is_waiting = !has_poison;
+        source.next_send = m_now + 20ms + up_to(480ms);
+        m_harmless_sent += has_poison ? 0 : 1;
+        request created;
+        created.content = source.content;
+        created.entry = source.entry;
+        created.caller = number;
+        created.arrived_at = m_now;
+        m_waiting.push_back(created);
     }
 
-    void answer(const request& one)
+    void answer(const request& pending)
     {
-        caller& whose = m_callers[one.asked_by];
-        whose.is_waiting = false;
-        if (!is_poison(one.content))
-            whose.next = m_now + 20ms + up_to(200ms);
+        caller& source = m_callers[pending.caller];
+        source.is_waiting = false;
+        if (!is_poison(pending.content))
+            source.next_send = m_now + 20ms + up_to(200ms);
     }
 
     void send_waiting()
     {
         std::vector<request> waiting;
         waiting.swap(m_waiting);
-        for (request& one : waiting)
+        for (request& pending : waiting)
         {
-            if (may_go(one))
+            if (try_send(pending))
                 continue;
-            if (m_now < one.came + longest_wait)
+            if (m_now < pending.arrived_at + max_wait)
             {
-                m_waiting.push_back(one);
+                m_waiting.push_back(pending);
                 continue;
             }
-            m_harmless_late += is_poison(one.content) ? 0 : 1;
-            answer(one);
+            m_harmless_timed_out += is_poison(pending.content) ? 0 : 1;
+            answer(pending);
         }
     }
 
-    /// Whether \a one has gone, to a target or away.
-    bool may_go(request& one)
+    /// Whether \a pending was sent to a target or refused.
+    bool try_send(request& pending)
     {
         using admission = quarantine::admission;
-        quarantine& known = m_entries[one.at].known;
-        if (!one.is_trial ||
-            known.ends().against(one.content).ends() != one.ends)
+        quarantine& guard = m_entries[pending.entry].guard;
+        if (!pending.is_trial || guard.crashes()
+                                         .evidence_against(pending.content)
+                                         .incident_count() != pending.incidents)
         {
-            const seat own{one.at, m_entries.size()};
-            const auto said =
-                known.judge(one.content, m_now, [&own] { return own; });
-            if (said.how == admission::refused)
+            const ordinal own{pending.entry, m_entries.size()};
+            const auto verdict =
+                guard.judge(pending.content, m_now, [&own] { return own; });
+            if (verdict.outcome == admission::refused)
             {
-                refuse(one);
+                refuse(pending);
                 return true;
             }
-            one.is_trial = said.how == admission::trial;
-            one.is_apart = one.is_trial || said.how == admission::apart;
-            one.ends = said.ends;
-            if (said.how == admission::held)
-                known.note_waiting(one.content, m_now);
-            if (one.is_trial)
+            pending.is_trial = verdict.outcome == admission::trial;
+            pending.is_isolated =
+                pending.is_trial || verdict.outcome == admission::isolated;
+            pending.incidents = verdict.incidents;
+            if (verdict.outcome == admission::held)
+                guard.note_waiting(pending.content, m_now);
+            if (pending.is_trial)
             {
-                known.note_tried(one.content, m_now);
-                one.alone_until = m_now + 1s;
+                guard.note_trial(pending.content, m_now);
+                pending.reserved_until = m_now + 1s;
             }
-            if (!one.is_apart && said.how != admission::open)
+            if (!pending.is_isolated &&
+                verdict.outcome != admission::unrestricted)
                 return false;
         }
-        const std::vector<std::size_t> free = free_targets(one);
+        const std::vector<std::size_t> free = free_targets(pending);
         if (free.empty())
             return false;
-        one.target = free[m_random() % free.size()];
-        one.began = m_now;
-        if (one.is_apart)
-            known.note_begun(one.content, start_of(one.target));
-        m_runs.push_back(one);
-        if (is_poison(one.content) &&
-            m_now >= suspect_of(one.content).known_from)
-            ++suspect_of(one.content).late;
+        pending.target = free[m_random() % free.size()];
+        pending.started_at = m_now;
+        if (pending.is_isolated)
+            guard.note_sent(pending.content, start_of(pending.target));
+        m_runs.push_back(pending);
+        if (is_poison(pending.content) &&
+            m_now >= stats_of(pending.content).known_from)
+            ++stats_of(pending.content).late_sends;
         return true;
     }
 
-    std::vector<std::size_t> free_targets(const request& one) const
+    std::vector<std::size_t> free_targets(const request& pending) const
     {
-        const quarantine& known = m_entries[one.at].known;
+        const quarantine& guard = m_entries[pending.entry].guard;
         std::vector<target_start> up;
-        for (std::size_t at = 0; at < m_targets.size(); ++at)
-            if (m_now >= m_targets[at].up_at)
-                up.push_back(start_of(at));
-        std::set<target_start> left_out;
-        if (one.is_apart)
-            left_out = known.occupied(one.content);
-        if (one.is_trial && m_now < one.alone_until)
-            left_out.merge(
-                kept_for_others(known.place_in_trial(one.content, m_now), up));
+        for (std::size_t index = 0; index < m_targets.size(); ++index)
+            if (m_now >= m_targets[index].restarts_at)
+                up.push_back(start_of(index));
+        std::set<target_start> excluded;
+        if (pending.is_isolated)
+            excluded = guard.targets_of_others(pending.content);
+        if (pending.is_trial && m_now < pending.reserved_until)
+            excluded.merge(targets_reserved_for_others(
+                guard.trial_ordinal(pending.content, m_now), up));
         std::vector<std::size_t> free;
-        for (std::size_t at = 0; at < m_targets.size(); ++at)
-            if (m_now >= m_targets[at].up_at &&
-                !left_out.contains(start_of(at)))
-                free.push_back(at);
+        for (std::size_t index = 0; index < m_targets.size(); ++index)
+            if (m_now >= m_targets[index].restarts_at &&
+                !excluded.contains(start_of(index)))
+                free.push_back(index);
         return free;
     }
 
-    void refuse(const request& one)
+    void refuse(const request& pending)
     {
-        m_harmless_refused += is_poison(one.content) ? 0 : 1;
-        answer(one);
+        m_harmless_refused += is_poison(pending.content) ? 0 : 1;
+        answer(pending);
     }
 
-    void end_runs()
+    void finish_runs()
     {
-        std::vector<bool> ends(m_targets.size());
-        for (const request& one : m_runs)
-            if (is_poison(one.content) && m_now >= one.began + poison_time)
+        std::vector<bool> has_crashed(m_targets.size());
+        for (const request& pending : m_runs)
+            if (is_poison(pending.content) &&
+                m_now >= pending.started_at + poison_run_time)
             {
-                if (!ends[one.target])
-                    count_end(one.content);
-                ends[one.target] = true;
+                if (!has_crashed[pending.target])
+                    count_crash(pending.content);
+                has_crashed[pending.target] = true;
             }
         std::vector<request> runs;
         runs.swap(m_runs);
-        for (const request& one : runs)
+        for (const request& pending : runs)
         {
-            quarantine& known = m_entries[one.at].known;
-            const bool is_served = m_now >= one.began + harmless_time;
-            if (!ends[one.target] && !is_served)
+            quarantine& guard = m_entries[pending.entry].guard;
+            const bool is_served =
+                m_now >= pending.started_at + harmless_run_time;
+            if (!has_crashed[pending.target] && !is_served)
             {
-                m_runs.push_back(one);
+                m_runs.push_back(pending);
                 continue;
             }
-            if (ends[one.target])
-                known.note_end({one.content, start_of(one.target), one.began,
-                                m_now, false},
-                               m_now);
+            if (has_crashed[pending.target])
+                guard.note_crash({pending.content, start_of(pending.target),
+                                  pending.started_at, m_now, false},
+                                 m_now);
             else
             {
-                known.note_served(one.content, m_now);
+                guard.note_served(pending.content, m_now);
                 ++m_harmless_served;
             }
-            answer(one);
-            if (one.is_apart)
-                known.note_over(one.content, start_of(one.target));
+            answer(pending);
+            if (pending.is_isolated)
+                guard.note_finished(pending.content, start_of(pending.target));
         }
-        for (std::size_t at = 0; at < m_targets.size(); ++at)
-            if (ends[at])
+        for (std::size_t index = 0; index < m_targets.size(); ++index)
+            if (has_crashed[index])
             {
-                ++m_targets[at].born;
-                m_targets[at].up_at = m_now + 200ms + up_to(1s);
+                ++m_targets[index].born;
+                m_targets[index].restarts_at = m_now + 200ms + up_to(1s);
             }
     }
 
-    void count_end(const digest& content)
+    void count_crash(const digest& content)
     {
-        suspect& one = suspect_of(content);
-        if (++one.ended == quarantine::most_ends)
-            one.known_from = m_now + known_time;
+        poison_stats& counted = stats_of(content);
+        if (++counted.crashes == quarantine::max_incidents)
+            counted.known_from = m_now + replication_time;
     }
 
-    suspect& suspect_of(const digest& content)
+    poison_stats& stats_of(const digest& content)
     {
-        m_suspects.resize(std::max(m_suspects.size(), content.low + 1));
-        return m_suspects[content.low];
+        m_poison_stats.resize(std::max(m_poison_stats.size(), content.low + 1));
+        return m_poison_stats[content.low];
     }
 
-    /// Tells all others, each 0.1 to 0.3 s.
-    void tell(std::size_t from)
+    /// Sends the changes of one entry to all others, every 0.1 to 0.3 s.
+    void replicate(std::size_t from)
     {
         entry& own = m_entries[from];
-        own.next_told = m_now + 100ms + up_to(200ms);
-        for (const target_end& news :
-             own.known.ends().since(own.told, 1000, m_now))
+        own.next_replication = m_now + 100ms + up_to(200ms);
+        for (const target_crash& crash :
+             own.guard.crashes().changes_after(own.last_change, 1000, m_now))
             for (entry& other : m_entries)
-                other.known.ends().note(news, m_now);
+                other.guard.crashes().note(crash, m_now);
     }
 
     std::mt19937_64 m_random;
@@ -322,10 +331,10 @@
     std::vector<caller> m_callers;
     std::vector<request> m_waiting;
     std::vector<request> m_runs;
-    std::vector<suspect> m_suspects;
-    std::size_t m_harmless_asked = 0;
+    std::vector<poison_stats> m_poison_stats;
+    std::size_t m_harmless_sent = 0;
     std::size_t m_harmless_refused = 0;
-    std::size_t m_harmless_late = 0;
+    std::size_t m_harmless_timed_out = 0;
     std::size_t m_harmless_served = 0;
 };
 
--- a/tests/decision/roster_world_test.cpp
+++ b/tests/decision/roster_world_test.cpp
@@ -18,21 +18,21 @@
 
 const std::string service = "rerank";
 
-/// Entries around the real roster that ask each other, with answers that take
-/// up to 20 ms, and faults between them.
-class roster_world
+/// A simulation of entries that use the real roster and probe each other, with
+/// answers that take up to 20 ms, and of faults of entries and connections.
+class roster_model
 {
 public:
-    roster_world(std::size_t count, std::uint64_t seed) : m_random(seed)
+    roster_model(std::size_t count, std::uint64_t seed) : m_random(seed)
     {
-        for (std::size_t one = 0; one < count; ++one)
-            m_entries.push_back({name_of(one), {}, {}, {}, {}, {}});
+        for (std::size_t index = 0; index < count; ++index)
+            m_entries.push_back({address_of(index), {}, {}, {}, {}, {}});
     }
 
-    void start(std::size_t one)
+    void start(std::size_t index)
     {
-        entry& own = m_entries[one];
-        own.roster.emplace(own.name, cores_of(one));
+        entry& own = m_entries[index];
+        own.roster.emplace(own.address, cores_of(index));
         own.roster->set_started(seeds(), m_now);
         own.roster->set_services({service});
         own.roster->set_has_catalog(true);
@@ -42,108 +42,117 @@
             add(own, seed);
     }
 
-    void stop(std::size_t one) { m_entries[one].roster.reset(); }
+    void stop(std::size_t index) { m_entries[index].roster.reset(); }
 
-    /// Tells an entry to stop; it goes on, and all that it reaches hear of it.
-    void begin_stop(std::size_t one)
+    /// Tells an entry to stop. It keeps running, and announces this to all
+    /// entries that it can reach.
+    void begin_stopping(std::size_t index)
     {
-        entry& own = m_entries[one];
+        entry& own = m_entries[index];
         own.roster->set_stopping(m_now);
         own.stopping_since = m_now;
         for (std::size_t other = 0; other < m_entries.size(); ++other)
-            if (other != one && is_up(other) && reaches(one, other))
-                m_entries[other].roster->note_stopping(own.name, m_now);
+            if (other != index && is_up(other) && reaches(index, other))
+                m_entries[other].roster->note_stopping(own.address, m_now);
     }
 
-    /// Returns how many stopping entries leave new requests to others.
+    /// Returns the number of stopping entries that refuse new requests, since
+    /// most entries outlast them.
     std::size_t outlasted() const
     {
         return static_cast<std::size_t>(std::count_if(
             m_entries.begin(), m_entries.end(),
-            [](const entry& one)
-            { return one.stopping_since && one.roster->is_outlasted(); }));
+            [](const entry& counted) {
+                return counted.stopping_since && counted.roster->is_outlasted();
+            }));
     }
-    void freeze(std::size_t one, duration time)
+
+    void freeze(std::size_t index, duration time)
     {
-        m_entries[one].frozen_until = m_now + time;
+        m_entries[index].frozen_until = m_now + time;
     }
     void cut(std::size_t left, std::size_t right, duration time)
     {
         m_cuts[std::minmax(left, right)] = m_now + time;
     }
 
-    /// Lets time pass; \a check is asked after each step.
-    void pass(
+    /// Advances the simulated time and calls \a check after each step.
+    void advance(
         duration time, const std::function<void()>& check = [] {})
     {
         constexpr duration step = 10ms;
         for (const instant end = m_now + time; m_now < end; m_now += step)
         {
-            for (std::size_t one = 0; one < m_entries.size(); ++one)
-                if (is_up(one))
-                    turn(one);
+            for (std::size_t index = 0; index < m_entries.size(); ++index)
+                if (is_up(index))
+                    step_entry(index);
             check();
         }
     }
 
-    /// Returns the entries that hold themselves for the gatherer.
-    std::set<std::string> gatherers() const
+    /// Returns the settled entries that elect themselves as the batching entry.
+    std::set<std::string> batching_entries() const
     {
         std::set<std::string> found;
-        for (std::size_t one = 0; one < m_entries.size(); ++one)
-            if (is_up(one) && m_entries[one].roster->is_settled(m_now) &&
-                chosen_by(one) == m_entries[one].name)
-                found.insert(m_entries[one].name);
+        for (std::size_t index = 0; index < m_entries.size(); ++index)
+            if (is_up(index) && m_entries[index].roster->is_settled(m_now) &&
+                elected_by(index) == m_entries[index].address)
+                found.insert(m_entries[index].address);
         return found;
     }
 
-    /// Returns whom the settled entries take for the gatherer.
-    std::set<std::string> chosen() const
+    /// Returns the entries that the settled entries elect as the batching
+    /// entry.
+    std::set<std::string> elected_entries() const
     {
         std::set<std::string> found;
-        for (std::size_t one = 0; one < m_entries.size(); ++one)
-            if (is_up(one) && m_entries[one].roster->is_settled(m_now))
-                found.insert(chosen_by(one));
+        for (std::size_t index = 0; index < m_entries.size(); ++index)
+            if (is_up(index) && m_entries[index].roster->is_settled(m_now))
+                found.insert(elected_by(index));
         return found;
     }
 
-    std::size_t below(std::size_t most) { return m_random.below(most); }
+    std::size_t below(std::size_t limit) { return m_random.below(limit); }
     instant now() const { return m_now; }
 
 private:
     struct link
     {
-        instant asked_at{};
+        instant probed_at{};
         instant heard_at{};
         std::optional<instant> answered_at;
     };
     struct entry
     {
-        std::string name;
+        std::string address;
         std::optional<entry_roster> roster;
         std::map<std::string, link> links;
         instant frozen_until{};
-        std::set<std::string> told; ///< By those that asked it.
+        std::set<std::string> probed_by; ///< Entries that probed it.
         std::optional<instant> stopping_since;
     };
 
-    static std::string name_of(std::size_t one)
+    static std::string address_of(std::size_t index)
+    {
+        return "10.0.0." + std::to_string(index) + ":1";
+    }
+    static double cores_of(std::size_t index)
     {
-        return "10.0.0." + std::to_string(one) + ":1";
+        return index % 4 == 0 ? 0.5 : 0.1;
     }
-    static double cores_of(std::size_t one) { return one % 4 == 0 ? 0.5 : 0.1; }
     static std::vector<std::string> seeds()
     {
-        return {name_of(0), name_of(1), name_of(2)};
+        return {address_of(0), address_of(1), address_of(2)};
     }
 
-    bool is_up(std::size_t one) const
+    bool is_up(std::size_t index) const
     {
-        return m_entries[one].roster && m_entries[one].frozen_until <= m_now;
+        return m_entries[index].roster &&
+               m_entries[index].frozen_until <= m_now;
     }
-    const std::string& chosen_by(std::size_t one) const
+    const std::string& elected_by(std::size_t index) const
     {
-        return m_entries[one].roster->gatherer_of(service);
+        return m_entries[index].roster->batching_entry(service);
     }
     bool reaches(std::size_t left, std::size_t right) const
     {
@@ -152,57 +161,59 @@
     }
     void add(entry& own, const std::string& other) const
     {
-        if (other != own.name)
+        if (other != own.address)
             own.links.try_emplace(other, link{{}, m_now, {}});
     }
 
-    void turn(std::size_t one)
+    void step_entry(std::size_t index)
     {
-        entry& own = m_entries[one];
-        for (const std::string& other : std::exchange(own.told, {}))
+        entry& own = m_entries[index];
+        for (const std::string& other : std::exchange(own.probed_by, {}))
             add(own, other);
         const std::map<std::string, link> known = own.links;
-        for (const auto& [name, seen] : known)
-            ask(one, name);
+        for (const auto& [address, state] : known)
+            probe(index, address);
     }
 
-    void ask(std::size_t one, const std::string& name)
+    void probe(std::size_t index, const std::string& address)
     {
-        entry& own = m_entries[one];
-        link& to = own.links.at(name);
-        const std::size_t there = std::stoul(name.substr(name.rfind('.') + 1));
-        const auto watch = own.roster->watch_of(name, false, m_now);
+        entry& own = m_entries[index];
+        link& to = own.links.at(address);
+        const std::size_t other_index =
+            std::stoul(address.substr(address.rfind('.') + 1));
+        const auto schedule =
+            own.roster->probe_schedule_for(address, false, m_now);
         if (to.answered_at && *to.answered_at <= m_now)
-            take_answer(one, there);
-        if (m_now - to.heard_at > watch.silence)
-            own.roster->note_lost(name);
-        if (m_now < to.asked_at + watch.interval || !is_up(there) ||
-            !reaches(one, there))
+            take_answer(index, other_index);
+        if (m_now - to.heard_at > schedule.timeout)
+            own.roster->note_lost(address);
+        if (m_now < to.probed_at + schedule.interval || !is_up(other_index) ||
+            !reaches(index, other_index))
             return;
-        to.asked_at = m_now;
+        to.probed_at = m_now;
         to.answered_at = m_now + duration(m_random.below(20000000));
-        m_entries[there].told.insert(own.name);
+        m_entries[other_index].probed_by.insert(own.address);
     }
 
-    void take_answer(std::size_t one, std::size_t there)
+    void take_answer(std::size_t index, std::size_t other_index)
     {
-        entry& own = m_entries[one];
-        const entry& other = m_entries[there];
-        link& to = own.links.at(other.name);
+        entry& own = m_entries[index];
+        const entry& other = m_entries[other_index];
+        link& to = own.links.at(other.address);
         to.answered_at.reset();
-        if (!is_up(there) || !reaches(one, there))
+        if (!is_up(other_index) || !reaches(index, other_index))
             return;
         to.heard_at = m_now;
         own.roster->note_answer(
-            other.name,
-            {cores_of(there), other.stopping_since.has_value(),
+            other.address,
+            {cores_of(other_index), other.stopping_since.has_value(),
              other.roster->is_settled(m_now), other.roster->size(), true,
              other.stopping_since ? m_now - *other.stopping_since
                                   : duration::zero()},
             m_now);
-        for (const std::string& told :
-             other.roster->some(own.roster->size(), m_random))
-            add(own, told);
+        for (const std::string& listed :
+             other.roster->sample(own.roster->size(), m_random))
+            add(own, listed);
     }
 
     std::vector<entry> m_entries;
@@ -211,148 +222,150 @@
     instant m_now{1h};
 };
 
-/// The silence after which a gatherer that is closely watched is lost, and
-/// the question that finds its successor.
-constexpr duration agreed_within = 1200ms;
+/// The timeout after which a batching entry is lost, and the probe that finds
+/// its successor.
+constexpr duration agreement_time = 1200ms;
 
 } // namespace
 
-// Two gatherers of one service each send half-filled calls to the same
-// targets, which refuse what is too much: requests are late or refused.
-// 1. All entries start within 0.4 s, in any order. 2. Nobody may gather side
-// by side with another for longer than a question to a seed takes to be asked.
-TEST_CASE("entries that start together agree before they gather")
+// Guards against two entries that batch for one service at the same time: both
+// send half-filled calls to the same targets, which refuse the excess, and
+// requests are late or refused. All entries start within 0.4 s, in any order;
+// two may batch at the same time for no longer than one probe interval of a
+// seed.
+TEST_CASE("entries that start together agree before they batch")
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
         CAPTURE(seed);
-        roster_world world(4 + seed % 3 * 18, seed);
+        roster_model model(4 + seed % 3 * 18, seed);
         const std::size_t count = 4 + seed % 3 * 18;
         std::vector<std::size_t> starts(40);
-        for (std::size_t one = 0; one < count; ++one)
-            ++starts[world.below(starts.size())];
+        for (std::size_t index = 0; index < count; ++index)
+            ++starts[model.below(starts.size())];
         std::size_t next = 0;
-        duration side_by_side{};
-        const auto count_them = [&]
+        duration overlap{};
+        const auto measure_overlap = [&]
         {
-            if (world.gatherers().size() > 1)
-                side_by_side += 10ms;
+            if (model.batching_entries().size() > 1)
+                overlap += 10ms;
         };
-        for (const std::size_t some : starts)
+        for (const std::size_t starting : starts)
         {
-            for (std::size_t one = 0; one < some; ++one)
-                world.start(next++);
-            world.pass(10ms, count_them);
+            for (std::size_t started = 0; started < starting; ++started)
+                model.start(next++);
+            model.advance(10ms, measure_overlap);
         }
-        world.pass(2s, count_them);
-        CHECK(side_by_side <= 100ms);
-        CHECK(world.chosen().size() == 1);
-        CHECK(world.gatherers().size() == 1);
+        model.advance(2s, measure_overlap);
+        CHECK(overlap <= 100ms);
+        CHECK(model.elected_entries().size() == 1);
+        CHECK(model.batching_entries().size() == 1);
     }
 }
 
-// Entries die, freeze, start again and are parted from each other; once that
-// is over, all agree within one silence of a gatherer.
-TEST_CASE("whatever happens between entries, they agree again")
+// Entries die, freeze, restart and are disconnected from each other. Once these
+// faults are over, all must agree within one timeout of a batching entry.
+TEST_CASE("entries agree again after any sequence of faults")
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
         CAPTURE(seed);
         constexpr std::size_t count = 12;
-        roster_world world(count, seed);
-        for (std::size_t one = 0; one < count; ++one)
-            world.start(one);
-        world.pass(2s);
+        roster_model model(count, seed);
+        for (std::size_t index = 0; index < count; ++index)
+            model.start(index);
+        model.advance(2s);
         for (int fault = 0; fault < 12; ++fault)
         {
-            const std::size_t one = world.below(count);
-            switch (world.below(4))
+            const std::size_t index = model.below(count);
+            switch (model.below(4))
             {
             case 0:
-                world.stop(one);
-                world.pass(duration(world.below(2000000000)));
-                world.start(one);
+                model.stop(index);
+                model.advance(duration(model.below(2000000000)));
+                model.start(index);
                 break;
             case 1:
-                world.freeze(one, duration(world.below(3000000000)));
+                model.freeze(index, duration(model.below(3000000000)));
                 break;
             case 2:
-                world.cut(one, (one + 1 + world.below(count - 1)) % count,
-                          duration(world.below(3000000000)));
+                model.cut(index, (index + 1 + model.below(count - 1)) % count,
+                          duration(model.below(3000000000)));
                 break;
             default:
-                world.pass(duration(world.below(1000000000)));
+                model.advance(duration(model.below(1000000000)));
             }
         }
-        // The last fault ends, and those watched from afar are heard again.
-        world.pass(3s + 3s + agreed_within);
-        CHECK(world.chosen().size() == 1);
-        CHECK(world.gatherers().size() == 1);
+        // The last fault ends, and entries that are seldom probed answer again.
+        model.advance(3s + 3s + agreement_time);
+        CHECK(model.elected_entries().size() == 1);
+        CHECK(model.batching_entries().size() == 1);
     }
 }
 
-// The same for a gatherer that dies, as its callers see it: work goes to one
-// other entry, soon.
-TEST_CASE("after a gatherer's death one other gathers, soon")
+// Guards against work that stays with a batching entry that has died: it must
+// go to one other entry soon.
+TEST_CASE("after the death of a batching entry, one other entry batches soon")
 {
     for (std::uint64_t seed = 1; seed <= 30; ++seed)
     {
         CAPTURE(seed);
         constexpr std::size_t count = 12;
-        roster_world world(count, seed);
-        for (std::size_t one = 0; one < count; ++one)
-            world.start(one);
-        world.pass(3s);
-        REQUIRE(world.gatherers().size() == 1);
-        const std::string before = *world.gatherers().begin();
-        world.stop(std::stoul(before.substr(before.rfind('.') + 1)));
-        world.pass(agreed_within);
-        CHECK(world.chosen().size() == 1);
-        CHECK(world.gatherers().size() == 1);
-        CHECK(*world.gatherers().begin() != before);
+        roster_model model(count, seed);
+        for (std::size_t index = 0; index < count; ++index)
+            model.start(index);
+        model.advance(3s);
+        REQUIRE(model.batching_entries().size() == 1);
+        const std::string before = *model.batching_entries().begin();
+        model.stop(std::stoul(before.substr(before.rfind('.') + 1)));
+        model.advance(agreement_time);
+        CHECK(model.elected_entries().size() == 1);
+        CHECK(model.batching_entries().size() == 1);
+        CHECK(*model.batching_entries().begin() != before);
     }
 }
 
-// Guards against entries that each gather for themselves, and send half-filled
-// calls to the same targets, while all of them stop.
-TEST_CASE("a fleet that stops as a whole has one gatherer until it is back")
+// Guards against entries that each batch for themselves, and send half-filled
+// calls to the same targets, while all of them are stopping.
+TEST_CASE("a fleet that stops as a whole keeps one batching entry")
 {
     for (const std::size_t count : {4, 24, 68})
     {
         CAPTURE(count);
-        roster_world world(count, count);
-        for (std::size_t one = 0; one < count; ++one)
-            world.start(one);
-        world.pass(5s);
-        duration side_by_side{};
-        const auto count_them = [&]
+        roster_model model(count, count);
+        for (std::size_t index = 0; index < count; ++index)
+            model.start(index);
+        model.advance(5s);
+        duration overlap{};
+        const auto measure_overlap = [&]
         {
-            if (world.gatherers().size() > 1)
-                side_by_side += 10ms;
+            if (model.batching_entries().size() > 1)
+                overlap += 10ms;
         };
-        for (std::size_t one = 0; one < count; ++one)
+        for (std::size_t index = 0; index < count; ++index)
         {
-            world.begin_stop(one);
-            world.pass(one % 3 == 2 ? 400ms : 0ms, count_them);
+            model.begin_stopping(index);
+            model.advance(index % 3 == 2 ? 400ms : 0ms, measure_overlap);
         }
-        world.pass(1s, count_them);
-        CHECK(world.gatherers().size() == 1);
-        CHECK(side_by_side <= 100ms);
-        // A quarter at most sends its callers to the others.
-        CHECK(world.outlasted() <= count / 4);
-        if (count > 4) // Of four, three are told together.
-            CHECK(world.outlasted() >= 1);
+        model.advance(1s, measure_overlap);
+        CHECK(model.batching_entries().size() == 1);
+        CHECK(overlap <= 100ms);
+        // A quarter of the entries at most refuses its callers.
+        CHECK(model.outlasted() <= count / 4);
+        if (count > 4) // Of four, three are told to stop together.
+            CHECK(model.outlasted() >= 1);
     }
 }
 
-// Guards against work for an entry that cannot make it yet, and fails it.
-TEST_CASE("an entry without a configuration gathers nothing while others can")
+// Guards against work that is given to an entry that cannot do it yet, and
+// fails.
+TEST_CASE("an entry without a configuration batches nothing while others can")
 {
-    entry_roster one("a:1", 1);
-    one.set_has_catalog(true);
-    one.set_stopping(instant(1h));
-    one.note_answer("b:1", {1, false, true, 2, false, {}}, instant(1h));
-    CHECK(one.gatherer_of(service) == "a:1");
-    one.note_answer("b:1", {1, false, true, 2, true, {}}, instant(1h));
-    CHECK(one.gatherer_of(service) == "b:1");
+    entry_roster roster("a:1", 1);
+    roster.set_has_catalog(true);
+    roster.set_stopping(instant(1h));
+    roster.note_answer("b:1", {1, false, true, 2, false, {}}, instant(1h));
+    CHECK(roster.batching_entry(service) == "a:1");
+    roster.note_answer("b:1", {1, false, true, 2, true, {}}, instant(1h));
+    CHECK(roster.batching_entry(service) == "b:1");
 }
--- a/tests/entry/content_guard_test.cpp
+++ b/tests/entry/content_guard_test.cpp
@@ -20,7 +20,7 @@
 
     fixture() { time.advance(1h); }
 
-    decision::target_end end_of(const std::string& target) const
+    decision::target_crash end_of(const std::string& target) const
     {
         return {content, {target, 1}, time.now() - 100ms, time.now()};
     }
@@ -54,7 +54,7 @@
 TEST_CASE("an end that is told again is judged as it was at first")
 {
     fixture f;
-    std::vector<decision::target_end> ends;
+    std::vector<decision::target_crash> ends;
     f.guard.note_served(content);
     for (const char* target : {"t1", "t2", "t3"})
     {
@@ -63,7 +63,7 @@
         f.guard.note_end(ends.back());
     }
     f.time.advance(20s);
-    for (const decision::target_end& one : ends)
+    for (const decision::target_crash& one : ends)
         f.guard.note_end(one);
     CHECK_FALSE(f.is_kept_back());
 }
--- a/tests/link/poison_path_test.cpp
+++ b/tests/link/poison_path_test.cpp
@@ -86,7 +86,7 @@
         : context{name, "z1", time, counters, store, routes},
           links(context, links_per_pool), runner(links, routes, time, counters)
     {
-        context.note_target_end = [this](const decision::target_end& one)
+        context.note_target_end = [this](const decision::target_crash& one)
         { runner.contents().note_end(one); };
         store.add_listener([this](const configuration::snapshot_ptr& value)
                            { routes.configure(value); });
--- a/tests/mutants/quarantine.py
+++ b/tests/mutants/quarantine.py
@@ -1,36 +1,37 @@
-"""Safeguards of the quarantine: its tests must fail without each of them."""
+"""Mutants that each take out a safeguard of the quarantine."""
 
 PARTS = ["tests/support/main.cpp", "tests/decision/quarantine_test.cpp",
          "tests/decision/quarantine_mixed_world_test.cpp"]
 ARGUMENTS = []
 
 QUARANTINE = "packages/decision/quarantine.cpp"
-ENDS = "packages/decision/crash_log.cpp"
+CRASH_LOG = "packages/decision/crash_log.cpp"
 
-# Name, file, what is taken out, what takes its place.
+# Name, file, the line that is replaced, its replacement.
 MUTANTS = [
-    ("what shares its ends is refused", QUARANTINE,
-     "return found.ends() - found.shared() < most_ends &&",
-     "return found.shared() > found.ends() &&"),
-    ("trials that fail are not counted", QUARANTINE,
-     "failed_trials < most_failed_trials;", "failed_trials < 100;"),
-    ("each entry counts by its own copy", ENDS,
-     "steps_of(other) > steps_of(one)", "steps_of(other) < 0"),
-    ("requests in doubt are tried at any target", QUARANTINE,
-     "if (at % own.of != own.place)", "if (own.of == 0)"),
-    ("a trial begins while targets end", QUARANTINE,
+    ("a request with shared incidents is refused without a trial", QUARANTINE,
+     "return found.incident_count() - found.shared_incident_count() <\n"
+     "               max_incidents &&",
+     "return found.shared_incident_count() > found.incident_count() &&"),
+    ("failed trials are not counted", QUARANTINE,
+     "failed_trials < max_failed_trials;", "failed_trials < 100;"),
+    ("each entry keeps the run time of its own copy", CRASH_LOG,
+     "run_steps(other) > run_steps(merged)", "run_steps(other) < 0"),
+    ("trials of requests in doubt use any target", QUARANTINE,
+     "if (index % own.count != own.index)", "if (own.count == 0)"),
+    ("a trial starts while targets crash", QUARANTINE,
      "quiet_time = std::chrono::milliseconds(500)",
      "quiet_time = std::chrono::milliseconds(0)"),
-    ("all entries try at once", QUARANTINE,
-     "if (first == nullptr || first->by != m_own)",
+    ("all entries run a trial at once", QUARANTINE,
+     "if (first == nullptr || first->entry != m_own_name)",
      "if (first == nullptr)"),
-    ("what others saw is not waited for", QUARANTINE,
-     "own_seat().of > 1)", "own_seat().of > 9999)"),
-    ("what was served lately is blamed", QUARANTINE,
+    ("crashes seen by other entries are not awaited", QUARANTINE,
+     "own_ordinal().count > 1)", "own_ordinal().count > 9999)"),
+    ("crashes are held against a recently served request", QUARANTINE,
      "now < found->second + trusted_time;", "now < found->second;"),
-    ("targets that end together count one by one", ENDS,
-     "occasions.empty() || one.began >= occasions.back().ended",
-     "occasions.empty() || one.ended >= occasions.back().ended"),
-    ("a run that goes well refutes nothing", ENDS,
-     "    one.is_refuted = true;\n", ""),
+    ("simultaneous crashes count as several incidents", CRASH_LOG,
+     "incidents.empty() || crash.started_at >= incidents.back().crashed_at",
+     "incidents.empty() || crash.crashed_at >= incidents.back().crashed_at"),
+    ("a completed run refutes nothing", CRASH_LOG,
+     "    refuted.is_refuted = true;\n", ""),
 ]
--- a/tests/mutants/search.py
+++ b/tests/mutants/search.py
@@ -1,5 +1,5 @@
-"""Takes one safeguard after the other out of the real modules; the tests named
-beside them must fail each time.
+"""Mutation tests: removes one safeguard at a time from the sources, and checks
+that the tests named in the suite fail.
 """
 
 import argparse
@@ -24,7 +24,7 @@
         self.base = [compiler, "-std=c++20", "-O1", "-Ipackages"]
         with concurrent.futures.ThreadPoolExecutor(4) as pool:
             self.parts = list(pool.map(
-                lambda one: self.compile(one, one.replace("/", "-")),
+                lambda part: self.compile(part, part.replace("/", "-")),
                 suite.PARTS))
 
     def compile(self, source, name):
@@ -34,19 +34,19 @@
             sys.exit(f"{name} does not build:\n{done.stderr[-2000:]}")
         return target
 
-    def finds(self, number, mutant):
-        """Whether the tests fail in the program."""
-        name, path, before, after = mutant
+    def is_detected(self, number, mutant):
+        """Returns whether the tests fail with the mutant."""
+        name, path, original, replacement = mutant
         with open(path, encoding="utf-8") as file:
             text = file.read()
-        if before not in text:
-            sys.exit(f"{name}: {path} no longer holds {before!r}")
+        if original not in text:
+            sys.exit(f"{name}: {path} no longer contains {original!r}")
         source = os.path.join(self.folder, f"{number}.cpp")
         with open(source, "w", encoding="utf-8") as file:
-            file.write(text.replace(before, after, 1))
-        made = self.compile(source, str(number))
+            file.write(text.replace(original, replacement, 1))
+        mutated = self.compile(source, str(number))
         program = os.path.join(self.folder, str(number))
-        done = run([self.compiler, *self.parts, made, *self.libraries, "-o",
+        done = run([self.compiler, *self.parts, mutated, *self.libraries, "-o",
                     program])
         if done.returncode:
             sys.exit(f"{name} does not link:\n{done.stderr[-2000:]}")
@@ -55,7 +55,7 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("suite", help="a module beside this one")
+    parser.add_argument("suite", help="the name of a suite in this folder")
     parser.add_argument("compiler")
     parser.add_argument("libraries", nargs=argparse.REMAINDER)
     options = parser.parse_args()
@@ -63,11 +63,12 @@
     with tempfile.TemporaryDirectory() as folder:
         search = Search(suite, options.compiler, options.libraries, folder)
         with concurrent.futures.ThreadPoolExecutor(4) as pool:
-            found = list(pool.map(lambda one: search.finds(*one),
-                                  enumerate(suite.MUTANTS)))
-    for mutant, is_found in zip(suite.MUTANTS, found):
-        print(f"{mutant[0]}: {'found' if is_found else 'NOT FOUND'}")
-    sys.exit(0 if all(found) else 1)
+            detected = list(pool.map(
+                lambda numbered: search.is_detected(*numbered),
+                enumerate(suite.MUTANTS)))
+    for mutant, is_detected in zip(suite.MUTANTS, detected):
+        print(f"{mutant[0]}: {'found' if is_detected else 'NOT FOUND'}")
+    sys.exit(0 if all(detected) else 1)
 
 
 if __name__ == "__main__":
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -19,8 +19,8 @@
     {
         return {};
     }
-    decision::entry_roster::watch watch_of(const std::string&,
-                                           bool) const override
+    decision::entry_roster::probe_schedule watch_of(const std::string&,
+                                                    bool) const override
     {
         return watch;
     }
@@ -37,7 +37,7 @@
         taken_back += jobs.size();
     }
 
-    decision::entry_roster::watch watch{1s, 10s};
+    decision::entry_roster::probe_schedule watch{1s, 10s};
     std::vector<std::string> catalogs;
     std::size_t parts = 0;
     std::size_t losses = 0;
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -76,7 +76,7 @@
      ["grow"], NARROW),
     ("a request that ends its targets is never kept from them",
      "packages/decision/quarantine.cpp",
-     "    made.how = admission::refused;\n", "    return made;\n",
+     "    result.outcome = admission::refused;\n", "    return result;\n",
      ["poison"], ["--entries", "6"]),
     ("entries keep what they know of ends to themselves",
      "packages/serving/target_losses.cpp",
