--- a/packages/decision/quarantine.hpp
+++ b/packages/decision/quarantine.hpp
@@ -64,8 +64,9 @@
         friend bool operator==(const verdict&, const verdict&) = default;
     };
 
-    /// Decides how to handle a request of \a content now. Calls \a own_ordinal
-    /// only where the entries take turns to run a trial.
+    /// Decides how to handle a request of \a content now. \a own_ordinal
+    /// returns the position of this entry among the live entries; it is only
+    /// called where the decision depends on it.
     verdict judge(const digest& content, instant now,
                   const std::function<ordinal()>& own_ordinal) const;
 
@@ -73,14 +74,14 @@
     void set_own_name(std::string name) { m_own_name = std::move(name); }
 
     /// Claims a trial for a held request of \a content that waits on this
-    /// entry, unless an entry has claimed it already.
+    /// entry, unless a claim by any entry is still valid.
     void note_waiting(const digest& content, instant now);
 
     /// Notes that a request admitted as a trial goes ahead.
     void note_trial(const digest& content, instant now);
 
-    /// Returns the position of \a content among the contents that have a trial
-    /// now.
+    /// Returns the position of \a content among the contents whose trial is
+    /// claimed now.
     ordinal trial_ordinal(const digest& content, instant now) const;
 
     /// Records a crash seen by this entry. Returns whether it is held against
--- a/tests/decision/quarantine_test.cpp
+++ b/tests/decision/quarantine_test.cpp
@@ -62,37 +62,37 @@
 // Guards against a client account that gets another account's requests refused.
 TEST_CASE("crashes of one account's request do not count against another's")
 {
-    quarantine known;
+    quarantine guard;
     const digest own =
         digest_of(request_content{"club", "POST", "h", "/a/", "x"});
     const digest others =
         digest_of(request_content{"cafe", "POST", "h", "/a/", "x"});
     for (int number = 1; number <= 5; ++number)
-        known.note_crash(
+        guard.note_crash(
             crash_after(number * 1s, own, "t" + std::to_string(number)),
             start + number * 1s);
-    CHECK(known.judge(own, start + 6s, only_entry).outcome ==
+    CHECK(guard.judge(own, start + 6s, only_entry).outcome ==
           admission::refused);
-    CHECK(known.judge(others, start + 6s, only_entry).outcome ==
+    CHECK(guard.judge(others, start + 6s, only_entry).outcome ==
           admission::unrestricted);
 }
 
 TEST_CASE("the third incident of a request keeps it from all targets")
 {
-    quarantine known;
-    CHECK(known.judge(poison, start, only_entry).outcome ==
+    quarantine guard;
+    CHECK(guard.judge(poison, start, only_entry).outcome ==
           admission::unrestricted);
-    known.note_crash(crash_after(1s, poison, "t1"), start + 1s);
-    CHECK(known.judge(poison, start + 1s, only_entry).outcome ==
+    guard.note_crash(crash_after(1s, poison, "t1"), start + 1s);
+    CHECK(guard.judge(poison, start + 1s, only_entry).outcome ==
           admission::unrestricted);
-    known.note_crash(crash_after(2s, poison, "t2"), start + 2s);
-    CHECK(known.judge(poison, start + 2s, only_entry).outcome ==
+    guard.note_crash(crash_after(2s, poison, "t2"), start + 2s);
+    CHECK(guard.judge(poison, start + 2s, only_entry).outcome ==
           admission::isolated);
-    known.note_crash(crash_after(3s, poison, "t3"), start + 3s);
-    const auto last = known.judge(poison, start + 13s, only_entry);
+    guard.note_crash(crash_after(3s, poison, "t3"), start + 3s);
+    const auto last = guard.judge(poison, start + 13s, only_entry);
     CHECK(last.outcome == admission::refused);
     CHECK(last.retry_after == 50s);
-    CHECK(known.judge(harmless, start + 13s, only_entry).outcome ==
+    CHECK(guard.judge(harmless, start + 13s, only_entry).outcome ==
           admission::unrestricted);
 }
 
@@ -101,13 +101,13 @@
 // progress on each of them: the crashes must not count as several incidents.
 TEST_CASE("targets that crash together are one incident")
 {
-    quarantine known;
+    quarantine guard;
     for (int number = 0; number < 18; ++number)
-        known.note_crash(crash_after(1s + number * 20ms, harmless,
+        guard.note_crash(crash_after(1s + number * 20ms, harmless,
                                      "t" + std::to_string(number), 5s),
                          start + 2s);
-    CHECK(known.crashes().evidence_against(harmless).incident_count() == 1);
-    CHECK(known.judge(harmless, start + 2s, only_entry).outcome ==
+    CHECK(guard.crashes().evidence_against(harmless).incident_count() == 1);
+    CHECK(guard.judge(harmless, start + 2s, only_entry).outcome ==
           admission::unrestricted);
 }
 
@@ -115,28 +115,28 @@
 // again and again and copies of the request are in progress on each of them.
 TEST_CASE("crashes are not held against a recently served request")
 {
-    quarantine known;
+    quarantine guard;
     for (int number = 0; number < 50; ++number)
     {
-        known.note_served(harmless, start + number * 1s);
-        known.note_crash(crash_after(number * 1s + 900ms, harmless,
+        guard.note_served(harmless, start + number * 1s);
+        guard.note_crash(crash_after(number * 1s + 900ms, harmless,
                                      "t" + std::to_string(number)),
                          start + number * 1s + 900ms);
     }
-    CHECK(known.judge(harmless, start + 51s, only_entry).outcome ==
+    CHECK(guard.judge(harmless, start + 51s, only_entry).outcome ==
           admission::unrestricted);
-    CHECK(known.crashes().is_empty());
+    CHECK(guard.crashes().is_empty());
 }
 
 TEST_CASE("a completed run refutes all crashes of its request")
 {
-    quarantine known = quarantine_with_three_incidents();
-    CHECK(known.note_served(poison, start + 4s) == 3);
-    CHECK(known.judge(poison, start + 20s, only_entry).outcome ==
+    quarantine guard = quarantine_with_three_incidents();
+    CHECK(guard.note_served(poison, start + 4s) == 3);
+    CHECK(guard.judge(poison, start + 20s, only_entry).outcome ==
           admission::unrestricted);
     // The next crash starts a new count.
-    known.note_crash(crash_after(30s, poison, "t9"), start + 30s);
-    CHECK(known.judge(poison, start + 30s, only_entry).incidents == 1);
+    guard.note_crash(crash_after(30s, poison, "t9"), start + 30s);
+    CHECK(guard.judge(poison, start + 30s, only_entry).incidents == 1);
 }
 
 // Guards against blaming requests that were sent to a target after its crash.
@@ -144,57 +144,57 @@
 // of it accepts connections and resets them.
 TEST_CASE("a request sent after the crash of its target did not cause it")
 {
-    quarantine known;
-    known.note_crash(crash_after(1s, poison, "t1"), start + 1s);
-    CHECK_FALSE(known.note_crash(crash_after(2s, harmless, "t1"), start + 2s));
+    quarantine guard;
+    guard.note_crash(crash_after(1s, poison, "t1"), start + 1s);
+    CHECK_FALSE(guard.note_crash(crash_after(2s, harmless, "t1"), start + 2s));
     // After an answer in between, the target is running again.
-    known.crashes().note_alive({"t1", 1}, start + 2500ms, start + 3s);
-    CHECK(known.note_crash(crash_after(4s, harmless, "t1"), start + 4s));
+    guard.crashes().note_alive({"t1", 1}, start + 2500ms, start + 3s);
+    CHECK(guard.note_crash(crash_after(4s, harmless, "t1"), start + 4s));
 }
 
 // Guards against counting connections of one entry that are reset while their
 // targets keep running.
 TEST_CASE("an answer refutes a crash only on a connection older than the crash")
 {
-    crash_log known;
-    known.note(crash_after(2s, poison, "t1"), start + 2s);
+    crash_log log;
+    log.note(crash_after(2s, poison, "t1"), start + 2s);
     const target_start target{"t1", 1};
-    CHECK(known.note_alive(target, start + 3s, start + 4s) == 0);
+    CHECK(log.note_alive(target, start + 3s, start + 4s) == 0);
     // Bytes that were sent before the crash may be read shortly after it.
-    CHECK(known.note_alive(target, start, start + 2100ms) == 0);
-    CHECK(known.note_alive({"t1", 2}, start, start + 4s) == 0);
-    CHECK(known.note_alive(target, start, start + 4s) == 1);
-    CHECK(known.evidence_against(poison).incident_count() == 0);
+    CHECK(log.note_alive(target, start, start + 2100ms) == 0);
+    CHECK(log.note_alive({"t1", 2}, start, start + 4s) == 0);
+    CHECK(log.note_alive(target, start, start + 4s) == 1);
+    CHECK(log.evidence_against(poison).incident_count() == 0);
 }
 
 TEST_CASE("after the refusal time, entries take turns to run a trial")
 {
-    quarantine known = quarantine_with_three_incidents();
+    quarantine guard = quarantine_with_three_incidents();
     const instant refused_until = start + 63s;
     const auto ordinal_at = [](std::size_t index) {
         return [index] { return ordinal{index, 3}; };
     };
-    CHECK(known.judge(poison, refused_until - 1ms, ordinal_at(0)).outcome ==
+    CHECK(guard.judge(poison, refused_until - 1ms, ordinal_at(0)).outcome ==
           admission::refused);
-    CHECK(known.judge(poison, refused_until, ordinal_at(0)).outcome ==
+    CHECK(guard.judge(poison, refused_until, ordinal_at(0)).outcome ==
           admission::trial);
-    CHECK(known.judge(poison, refused_until, ordinal_at(1)).outcome ==
+    CHECK(guard.judge(poison, refused_until, ordinal_at(1)).outcome ==
           admission::refused);
     // A trial started late in a turn could crash its target in the next turn.
-    CHECK(known.judge(poison, refused_until + 6s, ordinal_at(0)).outcome ==
+    CHECK(guard.judge(poison, refused_until + 6s, ordinal_at(0)).outcome ==
           admission::refused);
-    CHECK(known.judge(poison, refused_until + 11s, ordinal_at(1)).outcome ==
+    CHECK(guard.judge(poison, refused_until + 11s, ordinal_at(1)).outcome ==
           admission::trial);
-    CHECK(known.judge(poison, refused_until + 31s, ordinal_at(0)).outcome ==
+    CHECK(guard.judge(poison, refused_until + 31s, ordinal_at(0)).outcome ==
           admission::trial);
 
-    known.note_sent(poison, {"t7", 1});
-    CHECK(known.judge(poison, refused_until, ordinal_at(0)).outcome ==
+    guard.note_sent(poison, {"t7", 1});
+    CHECK(guard.judge(poison, refused_until, ordinal_at(0)).outcome ==
           admission::refused);
-    known.note_finished(poison, {"t7", 1});
+    guard.note_finished(poison, {"t7", 1});
 
-    known.note_crash(crash_after(63s, poison, "t7"), refused_until);
-    const auto again = known.judge(poison, refused_until, ordinal_at(0));
+    guard.note_crash(crash_after(63s, poison, "t7"), refused_until);
+    const auto again = guard.judge(poison, refused_until, ordinal_at(0));
     CHECK(again.outcome == admission::refused);
     CHECK(again.retry_after == 120s);
 }
@@ -203,13 +203,13 @@
 // of them caused the crash.
 TEST_CASE("suspected requests use separate targets")
 {
-    quarantine known;
-    known.note_sent(poison, {"t1", 1});
-    CHECK(known.targets_of_others(harmless) ==
+    quarantine guard;
+    guard.note_sent(poison, {"t1", 1});
+    CHECK(guard.targets_of_others(harmless) ==
           std::set<target_start>{{"t1", 1}});
-    CHECK(known.targets_of_others(poison).empty());
-    known.note_finished(poison, {"t1", 1});
-    CHECK(known.targets_of_others(harmless).empty());
+    CHECK(guard.targets_of_others(poison).empty());
+    guard.note_finished(poison, {"t1", 1});
+    CHECK(guard.targets_of_others(harmless).empty());
 }
 
 TEST_CASE("crash logs converge whatever the order of replication")
@@ -228,49 +228,46 @@
     std::vector<std::uint64_t> summaries;
     for (int order = 0; order < 20; ++order)
     {
-        crash_log known;
+        crash_log log;
         std::shuffle(records.begin(), records.end(), random);
         for (const target_crash& record : records)
-            known.note(record, start + 60s);
-        summaries.push_back(known.summary());
+            log.note(record, start + 60s);
+        summaries.push_back(log.summary());
     }
     CHECK(std::count(summaries.begin(), summaries.end(), summaries[0]) == 20);
 }
 
 TEST_CASE("records are replicated once, and not shortly before they expire")
 {
-    crash_log known;
+    crash_log log;
     for (int number = 0; number < 5; ++number)
-        known.note(
-            crash_after(number * 1s, poison, "t" + std::to_string(number)),
-            start + 9s);
+        log.note(crash_after(number * 1s, poison, "t" + std::to_string(number)),
+                 start + 9s);
     std::uint64_t last_change = 0;
-    CHECK(known.changes_after(last_change, 3, start + 9s).size() == 3);
-    CHECK(known.changes_after(last_change, 3, start + 9s).size() == 2);
-    CHECK(known.changes_after(last_change, 3, start + 9s).empty());
+    CHECK(log.changes_after(last_change, 3, start + 9s).size() == 3);
+    CHECK(log.changes_after(last_change, 3, start + 9s).size() == 2);
+    CHECK(log.changes_after(last_change, 3, start + 9s).empty());
     last_change = 0;
-    CHECK(known.changes_after(last_change, 9, start + crash_log::lifetime)
-              .empty());
-    known.expire(start + crash_log::lifetime + 2s);
-    CHECK(known.size() == 2);
+    CHECK(
+        log.changes_after(last_change, 9, start + crash_log::lifetime).empty());
+    log.expire(start + crash_log::lifetime + 2s);
+    CHECK(log.size() == 2);
 }
 
 // Guards against a caller that sends many different requests, each of which
 // crashes a target.
 TEST_CASE("the log is bounded and keeps requests with several crashes")
 {
-    crash_log known;
+    crash_log log;
     for (int number = 1; number <= 3; ++number)
-        known.note(
-            crash_after(number * 1s, poison, "t" + std::to_string(number)),
-            start + 9s);
+        log.note(crash_after(number * 1s, poison, "t" + std::to_string(number)),
+                 start + 9s);
     const std::size_t many = 3 * crash_log::max_size;
     for (std::size_t number = 0; number < many; ++number)
-        known.note(crash_after(5s + number * 1ms, {9, number}, "x"),
-                   start + 30s);
-    CHECK(known.size() <= crash_log::max_size);
-    CHECK(known.evidence_against(poison).incident_count() == 3);
-    CHECK(known.evidence_against({9, many - 1}).incident_count() == 1);
+        log.note(crash_after(5s + number * 1ms, {9, number}, "x"), start + 30s);
+    CHECK(log.size() <= crash_log::max_size);
+    CHECK(log.evidence_against(poison).incident_count() == 3);
+    CHECK(log.evidence_against({9, many - 1}).incident_count() == 1);
     // An entry that still has an evicted record does not bring it back.
-    CHECK_FALSE(known.note(crash_after(5s, {9, 0}, "x"), start + 30s));
+    CHECK_FALSE(log.note(crash_after(5s, {9, 0}, "x"), start + 30s));
 }
--- a/tests/decision/quarantine_world_test.cpp
+++ b/tests/decision/quarantine_world_test.cpp
@@ -53,7 +53,7 @@
     /// Restarts the process of an entry, which loses all its crash records.
     void restart(std::size_t index)
     {
-        m_entries[index]->known = {};
+        m_entries[index]->guard = {};
         for (auto& other : m_entries)
             for (link& to : other->links)
                 if (other == m_entries[index] || to.other == index)
@@ -84,7 +84,7 @@
             m_entries.begin(), m_entries.end(),
             [this](const auto& checked)
             {
-                return checked->known
+                return checked->guard
                            .judge(poison, m_now, [] { return ordinal(); })
                            .outcome != quarantine::admission::refused;
             }));
@@ -108,7 +108,7 @@
     struct entry
     {
         explicit entry(const std::string& name) : roster(name, 1) {}
-        quarantine known;
+        quarantine guard;
         entry_roster roster;
         std::vector<link> links;
         instant cut_until{};
@@ -148,7 +148,7 @@
         m_sent_at = m_now;
         const std::size_t entry_index = m_random() % m_entries.size();
         entry& own = *m_entries[entry_index];
-        const auto verdict = own.known.judge(
+        const auto verdict = own.guard.judge(
             poison, m_now, [&] { return own.roster.ordinal_for("poison"); });
         if (verdict.outcome != quarantine::admission::refused)
             m_runs.push_back({entry_index, m_now});
@@ -160,7 +160,7 @@
             if (m_now >= finished.started_at + poison_run_time)
             {
                 const std::string target = "t" + std::to_string(++m_crashes);
-                m_entries[finished.entry_index]->known.note_crash(
+                m_entries[finished.entry_index]->guard.note_crash(
                     {poison, {target, 1}, finished.started_at, m_now, false},
                     m_now);
             }
@@ -177,8 +177,8 @@
         to.next_probe = m_now + interval(index, to.other);
         if (is_cut(index) || is_cut(to.other))
             return;
-        crash_log& own = m_entries[index]->known.crashes();
-        crash_log& remote = m_entries[to.other]->known.crashes();
+        crash_log& own = m_entries[index]->guard.crashes();
+        crash_log& remote = m_entries[to.other]->guard.crashes();
         if (own.summary() == remote.summary())
             return;
         for (const target_crash& crash :
