--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "decision/stage_job.hpp"
+#include "decision/target_crash.hpp"
 #include "decision/target_directory.hpp"
-#include "decision/target_end.hpp"
 #include "decision/zone_evacuations.hpp"
 #include "peer.pb.h"
 #include "serving/asio.hpp"
@@ -22,9 +22,9 @@
 decision::stage_job job_of(const peer::Job& message, instant now);
 
 /// The same of an end of a target.
-void write_end(const decision::target_end& one, instant now,
+void write_end(const decision::target_crash& one, instant now,
                peer::TargetEnd& message);
-decision::target_end end_of(const peer::TargetEnd& message, instant now);
+decision::target_crash end_of(const peer::TargetEnd& message, instant now);
 
 /// The same of evacuated zones, in what an entry holds.
 void write_zones(const decision::zone_words& known, peer::Holding& message);
