--- a/packages/decision/cold_targets.hpp
+++ b/packages/decision/cold_targets.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decision/random_source.hpp"
-#include "decision/target_start.hpp"
+#include "decision/target_incarnation.hpp"
 #include "decision/time.hpp"
 
 #include <cstdint>
--- a/packages/decision/source_pace.cpp
+++ b/packages/decision/source_polling.cpp
@@ -1,4 +1,4 @@
-#include "decision/source_pace.hpp"
+#include "decision/source_polling.hpp"
 
 #include <algorithm>
 
--- a/packages/decision/target_directory.hpp
+++ b/packages/decision/target_directory.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/target_start.hpp"
+#include "decision/target_incarnation.hpp"
 #include "decision/time.hpp"
 
 #include <cstdint>
--- a/packages/decision/target_end.hpp
+++ b/packages/decision/target_end.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decision/digest.hpp"
-#include "decision/target_start.hpp"
+#include "decision/target_incarnation.hpp"
 #include "decision/time.hpp"
 
 namespace mangofold::decision
--- a/packages/decision/target_standing.cpp
+++ b/packages/decision/target_health.cpp
@@ -1,4 +1,4 @@
-#include "decision/target_standing.hpp"
+#include "decision/target_health.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -10,7 +10,7 @@
 #include "decision/recent_longest.hpp"
 #include "decision/retry_budget.hpp"
 #include "decision/target_directory.hpp"
-#include "decision/target_standing.hpp"
+#include "decision/target_health.hpp"
 #include "decision/turn_lateness.hpp"
 #include "decision/zone_evacuations.hpp"
 #include "runtime/clock.hpp"
--- a/packages/serving/source_reader.cpp
+++ b/packages/serving/source_reader.cpp
@@ -1,6 +1,6 @@
 #include "serving/source_reader.hpp"
 
-#include "decision/source_pace.hpp"
+#include "decision/source_polling.hpp"
 #include "runtime/event.hpp"
 #include "serving/zone_notices.hpp"
 
--- a/packages/serving/target_links.hpp
+++ b/packages/serving/target_links.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/target_start.hpp"
+#include "decision/target_incarnation.hpp"
 #include "runtime/clock.hpp"
 #include "serving/target_connection.hpp"
 
--- a/tests/decision/choice_test.cpp
+++ b/tests/decision/choice_test.cpp
@@ -1,5 +1,5 @@
 #include "decision/engine_choice.hpp"
-#include "decision/target_standing.hpp"
+#include "decision/target_health.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/mutants/relay.py
+++ b/tests/mutants/relay.py
@@ -2,8 +2,8 @@
 promise without each of them.
 """
 
-PARTS = ["tests/relay/main.cpp", "tests/relay/world.cpp",
-         "tests/relay/world_checks.cpp"]
+PARTS = ["tests/relay/main.cpp", "tests/relay/simulation.cpp",
+         "tests/relay/simulation_checks.cpp"]
 ARGUMENTS = ["7", "100000"]  # Seed and histories.
 
 DIRECTORY = "packages/decision/target_directory.cpp"
--- a/tests/mutants/zones.py
+++ b/tests/mutants/zones.py
@@ -3,7 +3,7 @@
 """
 
 PARTS = ["tests/support/main.cpp", "tests/decision/zone_evacuations_test.cpp",
-         "tests/decision/zones_world_test.cpp",
+         "tests/decision/zone_evacuations_simulation_test.cpp",
          "tests/decision/cold_targets_test.cpp"]
 ARGUMENTS = []
 
--- a/tests/relay/main.cpp
+++ b/tests/relay/main.cpp
@@ -3,7 +3,7 @@
 //
 //   test_relay [SEED [HISTORIES]]
 
-#include "world.hpp"
+#include "simulation.hpp"
 
 #include <rapidcheck.h>
 
--- a/tests/relay/world.cpp
+++ b/tests/relay/simulation.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "simulation.hpp"
 
 #include <algorithm>
 
--- a/tests/relay/world_checks.cpp
+++ b/tests/relay/simulation_checks.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "simulation.hpp"
 
 namespace mangofold::relay
 {
