--- a/tests/relay/main.cpp
+++ b/tests/relay/main.cpp
@@ -1,5 +1,5 @@
-// Searches random histories of a source, entries and what they tell each other
-// for a broken promise.
+// Searches random histories of a source and of entries that relay its state to
+// each other for a violated invariant.
 //
 //   test_relay [SEED [HISTORIES]]
 
@@ -22,19 +22,19 @@
         using kind = command::kind;
         const auto kinds = gen::weightedElement<kind>({
             {4, kind::publish},
-            {4, kind::list},
-            {3, kind::leave},
-            {2, kind::remove},
-            {2, kind::spoil},
-            {12, kind::hear},
-            {2, kind::read},
-            {3, kind::cut},
-            {2, kind::part},
-            {2, kind::freeze},
+            {4, kind::register_target},
+            {3, kind::mark_leaving},
+            {2, kind::remove_target},
+            {2, kind::write_malformed},
+            {12, kind::receive_change},
+            {2, kind::read_all},
+            {3, kind::toggle_source},
+            {2, kind::toggle_link},
+            {2, kind::toggle_freeze},
             {2, kind::restart},
-            {14, kind::ask},
-            {12, kind::copy},
-            {3, kind::lose},
+            {14, kind::poll_peer},
+            {12, kind::deliver_copy},
+            {3, kind::drop_copy},
             {3, kind::wait},
         });
         return gen::build<command>(
@@ -54,14 +54,14 @@
     params.maxSuccess = argc > 2 ? std::stoi(argv[2]) : 30000;
     params.maxSize = 150;
     const auto result = rc::detail::checkTestable(
-        [](const std::vector<command>& moves)
+        [](const std::vector<command>& commands)
         {
-            world tried;
-            for (const command& move : moves)
-                tried.carry_out(move);
-            tried.settle();
-            if (tried.broken())
-                RC_FAIL(*tried.broken());
+            simulation run;
+            for (const command& step : commands)
+                run.execute(step);
+            run.settle();
+            if (run.violation())
+                RC_FAIL(*run.violation());
         },
         rc::detail::TestMetadata{}, params);
     rc::detail::printResultMessage(result, std::cout);
--- a/tests/relay/simulation.cpp
+++ b/tests/relay/simulation.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-std::string name_of(unsigned entry)
+std::string entry_name(unsigned entry)
 {
     return "entry-" + std::to_string(entry);
 }
 
-std::string id_of(unsigned number)
+std::string target_id(unsigned number)
 {
     return "t" + std::to_string(number);
 }
@@ -22,54 +22,56 @@
 
 std::ostream& operator<<(std::ostream& out, const command& value)
 {
-    constexpr std::array names{"publish", "list", "leave", "remove", "spoil",
-                               "hear",    "read", "cut",   "part",   "freeze",
-                               "restart", "ask",  "copy",  "lose",   "wait"};
+    constexpr std::array names{
+        "publish",         "register_target", "mark_leaving", "remove_target",
+        "write_malformed", "receive_change",  "read_all",     "toggle_source",
+        "toggle_link",     "toggle_freeze",   "restart",      "poll_peer",
+        "deliver_copy",    "drop_copy",       "wait"};
     return out << names.at(static_cast<std::size_t>(value.what)) << '('
                << value.first << ',' << value.second << ')';
 }
 
-world::world()
+simulation::simulation()
 {
-    for (entry& one : m_entries)
+    for (entry& each : m_entries)
     {
-        one.lacks_catalog.set_adoption_time(bound);
-        one.lacks_targets.set_adoption_time(bound);
+        each.catalog_catch_up.set_adoption_time(adoption_time);
+        each.targets_catch_up.set_adoption_time(adoption_time);
     }
     write({0, "", {}, false, m_version});
-    for (unsigned index = 0; index < entries; ++index)
+    for (unsigned index = 0; index < entry_count; ++index)
         read_all(index);
 }
 
-void world::write(writing one)
+void simulation::write(source_change change)
 {
-    one.revision = ++m_revision;
-    if (one.target)
-        one.target->revision = m_revision;
-    m_writings.push_back(one);
-    if (!one.id.empty())
-        m_present[one.id] = one;
+    change.revision = ++m_revision;
+    if (change.target)
+        change.target->revision = m_revision;
+    m_changes.push_back(change);
+    if (!change.id.empty())
+        m_current[change.id] = change;
 }
 
-void world::carry_out(const command& move)
+void simulation::execute(const command& step)
 {
     using kind = command::kind;
-    const unsigned index = move.first % entries;
-    const unsigned other = move.second % entries;
-    const std::string id = id_of(move.first % ids);
-    const auto present = m_present.find(id);
+    const unsigned index = step.first % entry_count;
+    const unsigned other = step.second % entry_count;
+    const std::string id = target_id(step.first % target_count);
+    const auto present = m_current.find(id);
     const bool is_listed =
-        present != m_present.end() && present->second.target.has_value();
-    entry& one = m_entries[index];
-    m_now += move_time;
-    switch (move.what)
+        present != m_current.end() && present->second.target.has_value();
+    entry& self = m_entries[index];
+    m_now += step_time;
+    switch (step.what)
     {
     case kind::publish:
         write({0, "", {}, false, ++m_version});
         break;
-    case kind::list:
-        // Who writes for a target can be late: one that left is listed as
-        // serving once more.
+    case kind::register_target:
+        // The writer of a target's entries can be late: a target that left is
+        // listed as serving once more.
         if (is_listed && present->second.target->is_leaving && other == 0)
         {
             listed_target late = *present->second.target;
@@ -77,69 +79,70 @@
             write({0, id, late, false, 0});
             break;
         }
-        write({0, id,
-               listed_target{
-                   {id, ++m_born}, "s", "10.0.0.1:80", "a", 4, false, 0},
-               false, 0});
+        write(
+            {0, id,
+             listed_target{
+                 {id, ++m_last_start_ms}, "s", "10.0.0.1:80", "a", 4, false, 0},
+             false, 0});
         break;
-    case kind::leave:
+    case kind::mark_leaving:
         if (is_listed && !present->second.target->is_leaving)
         {
             listed_target leaving = *present->second.target;
             leaving.is_leaving = true;
-            m_ever_left.insert(leaving.incarnation);
+            m_all_leaving.insert(leaving.incarnation);
             write({0, id, leaving, false, 0});
         }
         break;
-    case kind::remove:
+    case kind::remove_target:
         if (is_listed)
             write({0, id, {}, false, 0});
         break;
-    case kind::spoil:
+    case kind::write_malformed:
         if (is_listed)
             write({0, id, {}, true, 0});
         break;
-    case kind::hear:
-        if (!one.is_frozen && !one.is_cut)
-            hear(index);
+    case kind::receive_change:
+        if (!self.is_frozen && !self.is_source_cut)
+            receive_change(index);
         break;
-    case kind::read:
-        if (!one.is_frozen && !one.is_cut)
+    case kind::read_all:
+        if (!self.is_frozen && !self.is_source_cut)
             read_all(index);
         break;
-    case kind::cut:
-        cut(index);
+    case kind::toggle_source:
+        toggle_source(index);
         break;
-    case kind::part:
-        if (!m_parted.insert({index, other}).second)
-            m_parted.erase({index, other});
+    case kind::toggle_link:
+        if (!m_cut_links.insert({index, other}).second)
+            m_cut_links.erase({index, other});
         break;
-    case kind::freeze:
-        one.is_frozen = !one.is_frozen;
+    case kind::toggle_freeze:
+        self.is_frozen = !self.is_frozen;
         break;
     case kind::restart:
         restart(index);
         break;
-    case kind::ask:
-        ask(index, other);
+    case kind::poll_peer:
+        poll_peer(index, other);
         break;
-    case kind::copy:
+    case kind::deliver_copy:
         if (!m_copies.empty())
         {
             const auto at =
                 m_copies.begin() +
-                static_cast<std::ptrdiff_t>(move.first % m_copies.size());
+                static_cast<std::ptrdiff_t>(step.first % m_copies.size());
             const copy arrived = *at;
             m_copies.erase(at);
-            arrive(arrived);
+            deliver(arrived);
         }
         break;
-    case kind::lose:
+    case kind::drop_copy:
         if (!m_copies.empty())
             m_copies.pop_front();
         break;
     case kind::wait:
-        m_now += std::chrono::milliseconds(100 * (move.first % 16));
+        m_now += std::chrono::milliseconds(100 * (step.first % 16));
         break;
     case kind::count:
         break;
@@ -150,166 +153,173 @@
     check();
 }
 
-void world::adopt(entry& one, std::uint64_t version)
+void simulation::adopt_version(entry& self, std::uint64_t version)
 {
-    const std::uint64_t before = one.version;
-    if (version > one.version)
-        one.version = version;
-    if (one.version < before)
-        break_promise("a configuration went back");
+    const std::uint64_t before = self.version;
+    if (version > self.version)
+        self.version = version;
+    if (self.version < before)
+        report_violation("an entry returned to an older configuration");
 }
 
-void world::note_told(entry& one, const std::string& id, std::uint64_t revision)
+void simulation::note_seen(entry& self, const std::string& id,
+                           std::uint64_t revision)
 {
-    std::uint64_t& newest = one.told[id];
+    std::uint64_t& newest = self.newest_seen[id];
     newest = std::max(newest, revision);
 }
 
-void world::take(entry& one, const writing& change)
+void simulation::apply(entry& self, const source_change& change)
 {
     if (change.id.empty())
-        return adopt(one, change.version);
-    note_told(one, change.id, change.revision);
+        return adopt_version(self, change.version);
+    note_seen(self, change.id, change.revision);
     if (change.target)
     {
         if (change.target->is_leaving)
-            one.left.insert(change.target->incarnation);
-        one.directory.note(*change.target);
+            self.seen_leaving.insert(change.target->incarnation);
+        self.directory.note(*change.target);
     }
-    else if (change.is_bad)
+    else if (change.is_malformed)
     {
-        one.gone[change.id] = change.revision;
-        one.directory.note_unreadable(change.id, change.revision);
+        self.removed[change.id] = change.revision;
+        self.directory.note_unreadable(change.id, change.revision);
     }
     else
-        one.directory.note_removed(change.id, change.revision, m_now);
+        self.directory.note_removed(change.id, change.revision, m_now);
 }
 
-void world::hear(unsigned index)
+void simulation::receive_change(unsigned index)
 {
-    entry& one = m_entries[index];
-    if (!one.has_list)
+    entry& self = m_entries[index];
+    if (!self.has_read_all)
         return read_all(index);
-    for (const writing& change : m_writings)
+    for (const source_change& change : m_changes)
     {
-        if (change.revision <= one.heard)
+        if (change.revision <= self.received_revision)
             continue;
-        one.heard = change.revision;
-        take(one, change);
-        return check(one);
+        self.received_revision = change.revision;
+        apply(self, change);
+        return check(self);
     }
 }
 
-void world::read_all(unsigned index)
+void simulation::read_all(unsigned index)
 {
-    entry& one = m_entries[index];
+    entry& self = m_entries[index];
     std::vector<listed_target> list;
-    for (const auto& [id, present] : m_present)
+    for (const auto& [id, present] : m_current)
     {
-        note_told(one, id, m_revision);
-        if (present.is_bad)
-            one.directory.note_unreadable(id, present.revision);
+        note_seen(self, id, m_revision);
+        if (present.is_malformed)
+            self.directory.note_unreadable(id, present.revision);
         if (!present.target)
             continue;
         list.push_back(*present.target);
         if (present.target->is_leaving)
-            one.left.insert(present.target->incarnation);
+            self.seen_leaving.insert(present.target->incarnation);
     }
-    one.directory.note_full_list(list, m_revision, m_now);
+    self.directory.note_full_list(list, m_revision, m_now);
     for (const listed_target& target : list)
-        one.told[target.incarnation.id] = target.revision;
-    if (!one.directory.is_source_available())
-        one.back_at = m_now;
-    one.directory.set_source_available(true, m_now);
-    one.heard = m_revision;
-    one.has_list = true;
-    adopt(one, m_version);
+        self.newest_seen[target.incarnation.id] = target.revision;
+    if (!self.directory.is_source_available())
+        self.source_back_at = m_now;
+    self.directory.set_source_available(true, m_now);
+    self.received_revision = m_revision;
+    self.has_read_all = true;
+    adopt_version(self, m_version);
 }
 
-void world::cut(unsigned index)
+void simulation::toggle_source(unsigned index)
 {
-    entry& one = m_entries[index];
-    one.is_cut = !one.is_cut;
-    if (!one.is_cut && one.has_list)
-        one.back_at = m_now;
-    one.directory.set_source_available(!one.is_cut && one.has_list, m_now);
+    entry& self = m_entries[index];
+    self.is_source_cut = !self.is_source_cut;
+    if (!self.is_source_cut && self.has_read_all)
+        self.source_back_at = m_now;
+    self.directory.set_source_available(
+        !self.is_source_cut && self.has_read_all, m_now);
 }
 
-void world::restart(unsigned index)
+void simulation::restart(unsigned index)
 {
     const unsigned incarnation = m_entries[index].incarnation + 1;
-    const bool is_cut = m_entries[index].is_cut;
+    const bool is_source_cut = m_entries[index].is_source_cut;
     m_entries[index] = entry{};
-    entry& one = m_entries[index];
-    one.incarnation = incarnation;
-    one.is_cut = is_cut;
-    one.lacks_catalog.set_adoption_time(bound);
-    one.lacks_targets.set_adoption_time(bound);
+    entry& self = m_entries[index];
+    self.incarnation = incarnation;
+    self.is_source_cut = is_source_cut;
+    self.catalog_catch_up.set_adoption_time(adoption_time);
+    self.targets_catch_up.set_adoption_time(adoption_time);
 }
 
-bool world::can_talk(unsigned one, unsigned other) const
+bool simulation::is_link_up(unsigned index, unsigned other) const
 {
-    return one != other && !m_entries[one].is_frozen &&
-           !m_entries[other].is_frozen && !m_parted.contains({one, other}) &&
-           !m_parted.contains({other, one});
+    return index != other && !m_entries[index].is_frozen &&
+           !m_entries[other].is_frozen &&
+           !m_cut_links.contains({index, other}) &&
+           !m_cut_links.contains({other, index});
 }
 
-// As peer_mesh does with what another entry says that it holds.
-void world::ask(unsigned index, unsigned other)
+// Mirrors how peer_mesh handles a peer's report of its state.
+void simulation::poll_peer(unsigned index, unsigned other)
 {
-    if (!can_talk(index, other))
+    if (!is_link_up(index, other))
         return;
-    entry& one = m_entries[index];
+    entry& self = m_entries[index];
     const entry& theirs = m_entries[other];
-    const catch_up::source_state source{one.directory.is_source_available(),
+    const catch_up::source_state source{self.directory.is_source_available(),
                                         false};
-    one.newest_told = std::max(one.newest_told, theirs.version);
-    if (one.version >= one.newest_told)
-        one.lacks_catalog.note_up_to_date();
-    if (theirs.version > one.version &&
-        one.lacks_catalog.should_request(name_of(other), source, m_now))
-        m_copies.push_back({other, index, one.incarnation, theirs.version, {}});
-    if (theirs.directory.digest() == one.directory.digest())
-        one.lacks_targets.note_up_to_date();
-    else if (one.lacks_catalog.pending_peer().empty() &&
-             one.lacks_targets.should_request(name_of(other), source, m_now) &&
+    self.newest_offered_version =
+        std::max(self.newest_offered_version, theirs.version);
+    if (self.version >= self.newest_offered_version)
+        self.catalog_catch_up.note_up_to_date();
+    if (theirs.version > self.version &&
+        self.catalog_catch_up.should_request(entry_name(other), source, m_now))
+        m_copies.push_back(
+            {other, index, self.incarnation, theirs.version, {}});
+    if (theirs.directory.digest() == self.directory.digest())
+        self.targets_catch_up.note_up_to_date();
+    else if (self.catalog_catch_up.pending_peer().empty() &&
+             self.targets_catch_up.should_request(entry_name(other), source,
+                                                  m_now) &&
              !theirs.directory.all().empty())
         m_copies.push_back(
-            {other, index, one.incarnation, 0, theirs.directory.all()});
+            {other, index, self.incarnation, 0, theirs.directory.all()});
 }
 
-void world::arrive(const copy& one)
+void simulation::deliver(const copy& delivered)
 {
-    entry& to = m_entries[one.to];
-    if (to.incarnation != one.incarnation || !can_talk(one.from, one.to))
+    entry& to = m_entries[delivered.to];
+    if (to.incarnation != delivered.incarnation ||
+        !is_link_up(delivered.from, delivered.to))
         return;
-    if (one.targets.empty())
+    if (delivered.targets.empty())
     {
-        to.lacks_catalog.note_complete(name_of(one.from), m_now);
-        return adopt(to, one.version);
+        to.catalog_catch_up.note_complete(entry_name(delivered.from), m_now);
+        return adopt_version(to, delivered.version);
     }
-    for (const listed_target& target : one.targets)
+    for (const listed_target& target : delivered.targets)
     {
-        note_told(to, target.incarnation.id, target.revision);
+        note_seen(to, target.incarnation.id, target.revision);
         if (target.address.empty())
         {
-            std::uint64_t& gone = to.gone[target.incarnation.id];
-            gone = std::max(gone, target.revision);
+            std::uint64_t& removed = to.removed[target.incarnation.id];
+            removed = std::max(removed, target.revision);
             to.directory.note_confirmed_removal(target.incarnation.id,
                                                 target.revision);
             continue;
         }
         if (target.is_leaving)
-            to.left.insert(target.incarnation);
+            to.seen_leaving.insert(target.incarnation);
         to.directory.note(target);
     }
-    to.lacks_targets.note_complete(name_of(one.from), m_now);
+    to.targets_catch_up.note_complete(entry_name(delivered.from), m_now);
 }
 
-void world::break_promise(const std::string& text)
+void simulation::report_violation(const std::string& text)
 {
-    if (!m_broken)
-        m_broken = text;
+    if (!m_violation)
+        m_violation = text;
 }
 
 } // namespace mangofold::relay
--- a/tests/relay/simulation.hpp
+++ b/tests/relay/simulation.hpp
@@ -17,26 +17,27 @@
 
 using namespace decision;
 
-/// One move of the operator, a target, the network or a fault.
+/// A random step of a history: an action of the operator, a target, an entry or
+/// the network, or a fault.
 struct command
 {
     enum class kind
     {
-        publish, ///< A new configuration; it takes a key away.
-        list,    ///< A target registers, or starts again under its id.
-        leave,   ///< A target says that it leaves.
-        remove,  ///< A target's entry is removed.
-        spoil,   ///< Somebody writes what names no target.
-        hear,    ///< An entry hears the source's next change.
-        read,    ///< An entry reads all again.
-        cut,     ///< An entry loses the source, or gets it back.
-        part,    ///< Two entries lose each other, or find each other.
-        freeze,  ///< An entry stands still, or goes on.
-        restart, ///< An entry starts again and knows nothing.
-        ask,     ///< An entry hears what another one holds.
-        copy,    ///< A copy that is under way arrives.
-        lose,    ///< A copy that is under way is lost without a word.
-        wait,    ///< Time passes.
+        publish,         ///< Publishes a configuration that revokes a key.
+        register_target, ///< A target registers, or restarts under its id.
+        mark_leaving,    ///< A target announces that it is leaving.
+        remove_target,   ///< The source removes a target's entry.
+        write_malformed, ///< A writer replaces an entry by a malformed one.
+        receive_change,  ///< An entry receives the source's next change.
+        read_all,        ///< An entry reads the full state of the source.
+        toggle_source,   ///< Cuts an entry off from the source, or reconnects.
+        toggle_link,     ///< Cuts the link between two entries, or restores it.
+        toggle_freeze,   ///< Freezes an entry's process, or resumes it.
+        restart,         ///< An entry restarts without any state.
+        poll_peer,       ///< An entry learns which state another one has.
+        deliver_copy,    ///< A pending copy arrives.
+        drop_copy,       ///< A pending copy is lost without an error.
+        wait,            ///< Time passes.
         count
     };
 
@@ -47,59 +48,63 @@
 
 std::ostream& operator<<(std::ostream& out, const command& value);
 
-/// The time in which a configuration must be in force.
-constexpr duration bound = std::chrono::seconds(2);
+/// The time within which a configuration must be in force.
+constexpr duration adoption_time = std::chrono::seconds(2);
 
-/// What each move takes; what is over is looked for after each.
-constexpr duration move_time = std::chrono::milliseconds(20);
+/// The duration of each command; expiry and invariants are checked after each.
+constexpr duration step_time = std::chrono::milliseconds(20);
 
-/// A source, three entries that hear of its changes and from each other, and
-/// targets that come and go, around the real directory and catch_up. Copies
-/// are snapshots from when they were asked for and arrive in any order.
-class world
+/// Simulates a source, targets that come and go, and three entries that receive
+/// changes from the source and from each other, around the real
+/// target_directory and catch_up. A copy is a snapshot of the time at which it
+/// was requested; copies arrive in any order.
+class simulation
 {
 public:
-    world();
+    simulation();
 
-    /// Carries \a move out; one that is not possible now does nothing.
-    void carry_out(const command& move);
+    /// Executes \a step, or nothing if it is not possible now.
+    void execute(const command& step);
 
-    /// Makes one way to the source whole, gives all the bound, and checks that
-    /// all have what is published.
+    /// Connects only the first entry to the source, restores all links, and
+    /// checks that all entries have the published state after adoption_time.
     void settle();
 
-    /// Returns the broken promise, or nothing.
-    const std::optional<std::string>& broken() const { return m_broken; }
+    /// Returns the first violated invariant, or nothing.
+    const std::optional<std::string>& violation() const { return m_violation; }
 
 private:
-    static constexpr unsigned entries = 3;
-    static constexpr unsigned ids = 3;
+    static constexpr unsigned entry_count = 3;
+    static constexpr unsigned target_count = 3;
 
-    /// What the source holds under one id, from a revision on.
-    struct writing
+    /// The content of the source under one id as of a revision.
+    struct source_change
     {
         std::uint64_t revision = 0;
         std::string id;
-        std::optional<listed_target> target; ///< Nothing: removed, or bad.
-        bool is_bad = false;
-        std::uint64_t version = 0; ///< Of a configuration, not a target.
+        std::optional<listed_target> target; ///< None: removed or malformed.
+        bool is_malformed = false;
+        /// Of a configuration; 0 for a target.
+        std::uint64_t version = 0;
     };
 
     struct entry
     {
         target_directory directory;
         std::uint64_t version = 0;
-        std::uint64_t newest_told = 0;
-        catch_up lacks_catalog;
-        catch_up lacks_targets;
-        std::uint64_t heard = 0; ///< The source's revision.
-        bool has_list = false;
-        bool is_cut = false;
+        std::uint64_t newest_offered_version = 0;
+        catch_up catalog_catch_up;
+        catch_up targets_catch_up;
+        std::uint64_t received_revision = 0; ///< Of the source.
+        bool has_read_all = false;
+        bool is_source_cut = false;
         bool is_frozen = false;
-        instant back_at{};                         ///< The source.
-        std::map<std::string, std::uint64_t> told; ///< By id, newest revision.
-        std::map<std::string, std::uint64_t> gone; ///< For good, by id.
-        std::set<target_incarnation> left; ///< Starts that it knew to leave.
+        instant source_back_at{};
+        /// Newest revision received, by id.
+        std::map<std::string, std::uint64_t> newest_seen;
+        /// Revision of the newest confirmed removal or malformed entry, by id.
+        std::map<std::string, std::uint64_t> removed;
+        std::set<target_incarnation> seen_leaving;
         unsigned incarnation = 0;
     };
 
@@ -107,38 +112,40 @@
     {
         unsigned from = 0;
         unsigned to = 0;
-        unsigned incarnation = 0; ///< Of whoever asked.
+        unsigned incarnation = 0; ///< Of the requesting entry.
         std::uint64_t version = 0;
-        std::vector<listed_target> targets; ///< Empty: a configuration.
+        /// Empty for a copy of the configuration.
+        std::vector<listed_target> targets;
     };
 
-    void write(writing one);
-    void hear(unsigned index);
+    void write(source_change change);
+    void receive_change(unsigned index);
     void read_all(unsigned index);
-    void cut(unsigned index);
+    void toggle_source(unsigned index);
     void restart(unsigned index);
-    void ask(unsigned index, unsigned other);
-    void arrive(const copy& one);
-    void adopt(entry& one, std::uint64_t version);
-    void take(entry& one, const writing& change);
-    void note_told(entry& one, const std::string& id, std::uint64_t revision);
-    bool can_talk(unsigned one, unsigned other) const;
+    void poll_peer(unsigned index, unsigned other);
+    void deliver(const copy& delivered);
+    void adopt_version(entry& self, std::uint64_t version);
+    void apply(entry& self, const source_change& change);
+    void note_seen(entry& self, const std::string& id, std::uint64_t revision);
+    bool is_link_up(unsigned index, unsigned other) const;
     void check();
-    void check(const entry& one);
-    void check_serving(const entry& one, const listed_target& target);
-    void break_promise(const std::string& text);
+    void check(const entry& self);
+    void check_serving(const entry& self, const listed_target& target);
+    void report_violation(const std::string& text);
 
     instant m_now{std::chrono::hours(1)};
     std::uint64_t m_revision = 1;
     std::uint64_t m_version = 1;
-    std::uint64_t m_born = 100;
-    std::vector<writing> m_writings;
-    std::map<std::string, writing> m_present;
-    std::set<target_incarnation> m_ever_left;
-    std::array<entry, entries> m_entries;
-    std::set<std::pair<unsigned, unsigned>> m_parted;
+    std::uint64_t m_last_start_ms = 100;
+    std::vector<source_change> m_changes;
+    std::map<std::string, source_change> m_current;
+    /// Incarnations that ever announced that they are leaving.
+    std::set<target_incarnation> m_all_leaving;
+    std::array<entry, entry_count> m_entries;
+    std::set<std::pair<unsigned, unsigned>> m_cut_links;
     std::deque<copy> m_copies;
-    std::optional<std::string> m_broken;
+    std::optional<std::string> m_violation;
 };
 
 } // namespace mangofold::relay
