--- a/tests/decision/catch_up_test.cpp
+++ b/tests/decision/catch_up_test.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr catch_up::source_state away{false, false};
-constexpr catch_up::source_state quiet{true, false};
+constexpr catch_up::source_state unavailable{false, false};
+constexpr catch_up::source_state idle{true, false};
 constexpr catch_up::source_state receiving{true, true};
 
 instant at(duration since_start)
@@ -17,39 +17,40 @@
     return instant(since_start);
 }
 
-catch_up bound_of_2s()
+catch_up catch_up_within_2s()
 {
-    catch_up lacking;
-    lacking.set_adoption_time(2s);
-    return lacking;
+    catch_up sync;
+    sync.set_adoption_time(2s);
+    return sync;
 }
 
-/// Returns how often holders are asked within \a most, where each offers what
-/// is lacking every 100 ms and a copy of \a need ms comes over one link that
-/// all copies under way share; one that is no longer wanted still comes.
+/// Counts the copies requested within \a time_limit while two peers offer newer
+/// state at every step. A copy takes \a transfer_time on the one link that all
+/// pending copies share; abandoned copies are still transferred.
 struct shared_link
 {
-    int asked = 0;
-    duration level_at{};
+    int request_count = 0;
+    duration up_to_date_at{};
 
-    shared_link(duration need, duration most)
+    shared_link(duration transfer_time, duration time_limit)
     {
-        catch_up lacking = bound_of_2s();
+        catch_up sync = catch_up_within_2s();
         duration owed{};
-        for (duration now{}; now < most && level_at == duration{}; now += 10ms)
+        for (duration now{}; now < time_limit && up_to_date_at == duration{};
+             now += 10ms)
         {
-            if (lacking.should_request("a", away, at(now)) ||
-                lacking.should_request("b", away, at(now)))
+            if (sync.should_request("a", unavailable, at(now)) ||
+                sync.should_request("b", unavailable, at(now)))
             {
-                ++asked;
-                owed += need;
+                ++request_count;
+                owed += transfer_time;
             }
             if (owed > 0ms)
             {
                 owed -= 10ms;
-                lacking.note_progress(lacking.pending_peer(), at(now));
+                sync.note_progress(sync.pending_peer(), at(now));
                 if (owed <= 0ms)
-                    level_at = now;
+                    up_to_date_at = now;
             }
         }
     }
@@ -57,113 +58,117 @@
 
 } // namespace
 
-// An entry with a narrow link is seconds behind: copies of a large catalog
-// are asked for while one is under way, and all of them share the link.
-TEST_CASE("while parts of a copy come no other copy is asked for")
+// Guards against an entry with a narrow link that falls seconds behind: it
+// requested further copies of a large catalog during a transfer, and all of
+// them shared the link.
+TEST_CASE("no further copy is requested while a transfer makes progress")
 {
-    for (const duration need : {100ms, 700ms, 3000ms, 20000ms})
+    for (const duration transfer_time : {100ms, 700ms, 3000ms, 20000ms})
     {
-        CAPTURE(need.count());
-        const shared_link link(need, 60s);
-        CHECK(link.asked == 1);
-        CHECK(link.level_at <= need);
+        CAPTURE(transfer_time.count());
+        const shared_link link(transfer_time, 60s);
+        CHECK(link.request_count == 1);
+        CHECK(link.up_to_date_at <= transfer_time);
     }
 }
 
-// The holder is gone or its way is cut: nothing of the copy comes.
-TEST_CASE("another holder is asked when nothing comes, less and less often")
+// Guards against waiting for a peer that is gone or unreachable.
+TEST_CASE("stalled transfers are replaced by others at growing intervals")
 {
-    catch_up lacking = bound_of_2s();
-    int asked = 0;
+    catch_up sync = catch_up_within_2s();
+    int requests = 0;
     for (duration now{}; now < 60s; now += 50ms)
-        asked +=
-            lacking.should_request(asked % 2 == 0 ? "a" : "b", away, at(now));
-    // Half a second, and then half of the bound each.
-    CHECK(asked >= 59);
-    CHECK(asked <= 62);
+        requests += sync.should_request(requests % 2 == 0 ? "a" : "b",
+                                        unavailable, at(now));
+    // One after half a second, then one per half of the adoption time.
+    CHECK(requests >= 59);
+    CHECK(requests <= 62);
 }
 
-TEST_CASE("what the source brings is left to it for a part of the bound")
+TEST_CASE("the source gets a part of the adoption time before a peer is asked")
 {
-    catch_up lacking = bound_of_2s();
-    CHECK_FALSE(lacking.should_request("a", quiet, at(0ms)));
-    CHECK_FALSE(lacking.should_request("a", quiet, at(399ms)));
-    CHECK_FALSE(lacking.should_request("a", receiving, at(999ms)));
-    CHECK(lacking.should_request("a", receiving, at(1000ms)));
-    catch_up other = bound_of_2s();
-    CHECK_FALSE(other.should_request("a", quiet, at(0ms)));
-    CHECK(other.should_request("a", quiet, at(400ms)));
+    catch_up sync = catch_up_within_2s();
+    CHECK_FALSE(sync.should_request("a", idle, at(0ms)));
+    CHECK_FALSE(sync.should_request("a", idle, at(399ms)));
+    CHECK_FALSE(sync.should_request("a", receiving, at(999ms)));
+    CHECK(sync.should_request("a", receiving, at(1000ms)));
+    catch_up other = catch_up_within_2s();
+    CHECK_FALSE(other.should_request("a", idle, at(0ms)));
+    CHECK(other.should_request("a", idle, at(400ms)));
 }
 
-TEST_CASE("an entry without its source asks at once")
+TEST_CASE("an entry without its source requests a copy at once")
 {
-    catch_up lacking = bound_of_2s();
-    CHECK(lacking.should_request("a", away, at(0ms)));
+    catch_up sync = catch_up_within_2s();
+    CHECK(sync.should_request("a", unavailable, at(0ms)));
 }
 
-// A holder's catalog cannot be read, or it never has what it said.
-TEST_CASE("copies that even nothing out are asked for less and less often")
+// Guards against a stream of useless copies from a peer whose catalog is
+// unreadable, or that does not have the state that it reported.
+TEST_CASE(
+    "copies that leave the entry behind are requested less and less often")
 {
-    catch_up lacking = bound_of_2s();
-    int asked = 0;
+    catch_up sync = catch_up_within_2s();
+    int requests = 0;
     for (duration now{}; now < 60s; now += 50ms)
     {
-        if (!lacking.should_request("a", away, at(now)))
+        if (!sync.should_request("a", unavailable, at(now)))
             continue;
-        ++asked;
-        lacking.note_complete("a", at(now));
+        ++requests;
+        sync.note_complete("a", at(now));
     }
-    CHECK(asked <= 62);
+    CHECK(requests <= 62);
 }
 
-// A configuration is in force too late after a series of cuts: nobody is
-// asked for many seconds though a way is whole again.
-TEST_CASE("after any series of copies in vain one is asked for in time")
+// Guards against a configuration that is in force too late after a series of
+// link failures: no peer was asked for many seconds although one was reachable
+// again.
+TEST_CASE("after any number of failed copies the next one is requested in time")
 {
-    for (const duration bound : {500ms, 2000ms, 16000ms})
+    for (const duration adoption_time : {500ms, 2000ms, 16000ms})
     {
-        CAPTURE(bound.count());
-        catch_up lacking;
-        lacking.set_adoption_time(bound);
+        CAPTURE(adoption_time.count());
+        catch_up sync;
+        sync.set_adoption_time(adoption_time);
         duration now{};
         for (; now < 120s; now += 50ms)
-            if (lacking.should_request("cut", away, at(now)) &&
+            if (sync.should_request("unreachable", unavailable, at(now)) &&
                 now.count() % 3 == 0)
-                lacking.note_complete("cut", at(now));
-        const duration most = std::max<duration>(bound, 1s);
+                sync.note_complete("unreachable", at(now));
+        const duration max_wait = std::max<duration>(adoption_time, 1s);
         duration waited{};
-        while (!lacking.should_request("whole", away, at(now + waited)))
+        while (!sync.should_request("reachable", unavailable, at(now + waited)))
             waited += 10ms;
-        CHECK(waited <= most);
+        CHECK(waited <= max_wait);
     }
 }
 
-TEST_CASE("when a holder is lost another one is asked at once")
+TEST_CASE("when a peer becomes unavailable another one is asked at once")
 {
-    catch_up lacking = bound_of_2s();
-    CHECK(lacking.should_request("a", away, at(0ms)));
-    lacking.note_unavailable("b");
-    CHECK_FALSE(lacking.should_request("b", away, at(10ms)));
-    lacking.note_unavailable("a");
-    CHECK(lacking.should_request("b", away, at(20ms)));
+    catch_up sync = catch_up_within_2s();
+    CHECK(sync.should_request("a", unavailable, at(0ms)));
+    sync.note_unavailable("b");
+    CHECK_FALSE(sync.should_request("b", unavailable, at(10ms)));
+    sync.note_unavailable("a");
+    CHECK(sync.should_request("b", unavailable, at(20ms)));
 }
 
-TEST_CASE("once level the next difference is evened out without delay")
+TEST_CASE("an entry that was up to date requests its next copy without delay")
 {
-    catch_up lacking = bound_of_2s();
+    catch_up sync = catch_up_within_2s();
     for (duration now{}; now < 30s; now += 50ms)
-        lacking.should_request("a", away, at(now));
-    lacking.note_up_to_date();
-    CHECK(lacking.pending_peer().empty());
-    CHECK(lacking.should_request("b", away, at(31s)));
+        sync.should_request("a", unavailable, at(now));
+    sync.note_up_to_date();
+    CHECK(sync.pending_peer().empty());
+    CHECK(sync.should_request("b", unavailable, at(31s)));
 }
 
-TEST_CASE("what comes from somebody else does not keep a stalled copy alive")
+TEST_CASE("parts from another peer do not keep a stalled transfer alive")
 {
-    catch_up lacking = bound_of_2s();
-    CHECK(lacking.should_request("a", away, at(0ms)));
-    lacking.note_progress("b", at(400ms));
-    lacking.note_complete("b", at(400ms));
-    CHECK(lacking.pending_peer() == "a");
-    CHECK(lacking.should_request("b", away, at(500ms)));
+    catch_up sync = catch_up_within_2s();
+    CHECK(sync.should_request("a", unavailable, at(0ms)));
+    sync.note_progress("b", at(400ms));
+    sync.note_complete("b", at(400ms));
+    CHECK(sync.pending_peer() == "a");
+    CHECK(sync.should_request("b", unavailable, at(500ms)));
 }
--- a/tests/decision/cold_targets_test.cpp
+++ b/tests/decision/cold_targets_test.cpp
@@ -11,14 +11,16 @@
 namespace
 {
 
-constexpr warm_up bears{3s, 16};
+constexpr warm_up limit{3s, 16};
 const instant start = instant{} + 100s;
 
-/// Returns the most requests that one cold target gets in any second from
-/// entries that send it all they may, for \a time. Each believes in
-/// \a believed entries.
-std::size_t most_in_a_second(std::size_t entries, std::size_t believed,
-                             std::uint64_t seed, duration time = 3s)
+/// Returns the maximum number of requests that one cold target gets in any
+/// second of \a warm_up_period, from entries that send as many as they may.
+/// Each of them knows of \a known_entries entries.
+std::size_t max_requests_per_second(std::size_t entries,
+                                    std::size_t known_entries,
+                                    std::uint64_t seed,
+                                    duration warm_up_period = 3s)
 {
     struct entry
     {
@@ -26,71 +28,72 @@
         random_source random;
     };
     std::vector<entry> all;
-    for (std::size_t one = 0; one < entries; ++one)
+    for (std::size_t index = 0; index < entries; ++index)
     {
-        all.push_back({{}, random_source(seed * 1000 + one)});
-        all.back().cold.note_cold("t", time, start);
+        all.push_back({{}, random_source(seed * 1000 + index)});
+        all.back().cold.note_cold("t", warm_up_period, start);
     }
     std::vector<instant> sent;
-    for (instant now = start; now < start + time; now += 5ms)
-        for (entry& one : all)
-            if (one.cold.next_send("t", bears, believed, now, one.random) <=
-                now)
+    for (instant now = start; now < start + warm_up_period; now += 5ms)
+        for (entry& sender : all)
+            if (sender.cold.next_send("t", limit, known_entries, now,
+                                      sender.random) <= now)
             {
-                one.cold.note_sent("t", bears, believed, now);
+                sender.cold.note_sent("t", limit, known_entries, now);
                 sent.push_back(now);
             }
-    std::size_t most = 0;
+    std::size_t result = 0;
     for (const instant from : sent)
-        most = std::max<std::size_t>(
-            most, std::count_if(sent.begin(), sent.end(),
-                                [from](instant at)
-                                { return at >= from && at < from + 1s; }));
-    return most;
+        result = std::max<std::size_t>(
+            result, std::count_if(sent.begin(), sent.end(),
+                                  [from](instant at)
+                                  { return at >= from && at < from + 1s; }));
+    return result;
 }
 
 } // namespace
 
-// Guards against cold targets that end under the sum of what many entries
-// send.
-TEST_CASE("a cold target gets what it bears from all entries together")
+// Guards against cold targets that fail under the sum of the requests of many
+// entries.
+TEST_CASE("all entries together send a cold target what it accepts")
 {
     for (const std::size_t entries : {1U, 4U, 23U, 300U})
         for (std::uint64_t seed = 1; seed <= 20; ++seed)
         {
             CAPTURE(entries);
             CAPTURE(seed);
-            // Half more than it bears, and five.
-            CHECK(most_in_a_second(entries, entries, seed) <= 29);
+            // The accepted rate plus a half, plus five.
+            CHECK(max_requests_per_second(entries, entries, seed) <= 29);
         }
 }
 
-// Guards against entries that have not met a third of the others yet.
-TEST_CASE("a cold target bears entries that believe in fewer others")
+// Guards against overload by entries that do not know a third of the others
+// yet.
+TEST_CASE("a cold target is not overloaded by entries that know few others")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
         CAPTURE(seed);
-        CHECK(most_in_a_second(23, 15, seed) <= 29);
+        CHECK(max_requests_per_second(23, 15, seed) <= 29);
     }
 }
 
-// Guards against a burst of what was not sent while an entry stood still.
-TEST_CASE("what was not sent to a cold target is not sent later")
+// Guards against a burst of requests after an entry's process was frozen.
+TEST_CASE("unused sends to a cold target do not accumulate")
 {
     cold_targets cold;
     random_source random(1);
     cold.note_cold("t", 10s, start);
-    cold.next_send("t", bears, 4, start, random);
+    cold.next_send("t", limit, 4, start, random);
     const instant later = start + 5s;
-    CHECK(cold.next_send("t", bears, 4, later, random) == later);
-    cold.note_sent("t", bears, 4, later);
-    CHECK(cold.next_send("t", bears, 4, later, random) > later + 300ms);
+    CHECK(cold.next_send("t", limit, 4, later, random) == later);
+    cold.note_sent("t", limit, 4, later);
+    CHECK(cold.next_send("t", limit, 4, later, random) > later + 300ms);
 }
 
-// Guards against a target that ends again and again, since it gets its full
-// load whenever it is back.
-TEST_CASE("a target that was lost is cold from its next answer on")
+// Guards against a target that fails again and again since it gets its full
+// load after each restart.
+TEST_CASE("a target that was lost is cold from its next response on")
 {
     cold_targets cold;
     CHECK_FALSE(cold.has_any());
@@ -104,7 +107,7 @@
     CHECK_FALSE(cold.is_cold("other", start));
 }
 
-TEST_CASE("targets that are warm again are forgotten")
+TEST_CASE("targets that are warm again are removed")
 {
     cold_targets cold;
     cold.note_cold("t", 3s, start);
--- a/tests/decision/source_polling_test.cpp
+++ b/tests/decision/source_polling_test.cpp
@@ -6,26 +6,27 @@
 using namespace mangofold::decision::source_polling;
 using namespace std::chrono_literals;
 
-// The source's rate is shared by the fleet, and calls to it are paid for. Each
-// of 68 entries watched by itself: a thousand calls in 50 s with no change.
-TEST_CASE("calls of a fleet at rest hardly grow with it")
+// Guards against an idle fleet that uses up the source's rate limit, which all
+// entries share, and costs money for each call: 68 entries with watches
+// independent of each other made a thousand calls in 50 s without a change.
+TEST_CASE("calls of an idle fleet grow far less than the fleet")
 {
-    const auto calls_a_second = [](std::size_t entries)
+    const auto calls_per_second = [](std::size_t entries)
     {
         const double mean_s =
             std::chrono::duration<double>(watch_timeout(4s, entries, 0.5))
                 .count();
         return static_cast<double>(entries) / mean_s;
     };
-    CHECK(calls_a_second(68) < 8);
-    CHECK(calls_a_second(68) / calls_a_second(8) < 2.5);
+    CHECK(calls_per_second(68) < 8);
+    CHECK(calls_per_second(68) / calls_per_second(8) < 2.5);
 }
 
-// A configuration is not in force in time at entries whose watches were cut
-// without a word, all in one moment.
-// 1. All watches began together, after the last change. 2. Each would end
-// after the same time. 3. Nobody hears of the next change before that. Spread
-// out, the first of them ends early, and its entry tells the others.
+// Guards against a configuration that is not in force in time at entries whose
+// watches were all lost at once without an error. Watches that began together
+// after the last change, with equal timeouts, would all end late, and no entry
+// would receive the next change before. With spread timeouts the first watch
+// ends early, and its entry relays the change to the others.
 TEST_CASE("watches of many entries end at different times")
 {
     CHECK(watch_timeout(4s, 68, 0) == 2s);
@@ -33,7 +34,7 @@
     CHECK(watch_timeout(4s, 68, 1) == 20s);
 }
 
-TEST_CASE("an entry that hears of no other watches within the bound")
+TEST_CASE("with few live entries watches end within the adoption time")
 {
     for (const double fraction : {0.0, 0.5, 1.0})
     {
@@ -43,7 +44,7 @@
     CHECK(watch_timeout(100ms, 1, 1) == 300ms);
 }
 
-TEST_CASE("pauses leave several tries within the bound")
+TEST_CASE("delays leave several attempts within the adoption time")
 {
     CHECK(retry_delay(2s, 1, 0) == 25ms);
     CHECK(retry_delay(2s, 1, 1) == 75ms);
--- a/tests/decision/zone_evacuations_simulation_test.cpp
+++ b/tests/decision/zone_evacuations_simulation_test.cpp
@@ -10,173 +10,180 @@
 namespace
 {
 
-/// A source of evacuations and the entries that read it: each is behind by
-/// what it has not been told, some are cut off, some start again.
-class zones_world
+/// Simulates a source of evacuations and entries that read it, receive updates
+/// late or not at all, relay snapshots to each other, and restart.
+class zone_simulation
 {
 public:
-    explicit zones_world(std::uint64_t seed) : m_random(seed), m_entries(4) {}
+    explicit zone_simulation(std::uint64_t seed) : m_random(seed), m_entries(4)
+    {
+    }
 
     void step()
     {
-        constexpr std::size_t sorts = 6;
-        entry& one = m_entries[m_random.below(m_entries.size())];
-        switch (m_random.below(sorts))
+        constexpr std::size_t step_kinds = 6;
+        entry& self = m_entries[m_random.below(m_entries.size())];
+        switch (m_random.below(step_kinds))
         {
         case 0:
-            return change();
+            return change_zone();
         case 1:
-            return read_all(one);
+            return read_all(self);
         case 2:
-            return read_next(one);
+            return read_next(self);
         case 3:
-            one = {};
+            self = {};
             return;
         default:
-            // What was told may be on its way for long.
-            m_told.push_back(one.known.snapshot());
-            if (m_told.size() > 6)
-                m_told.pop_front();
-            take(one, m_told[m_random.below(m_told.size())]);
+            // Snapshots may be delayed and delivered more than once.
+            m_snapshots.push_back(self.known.snapshot());
+            if (m_snapshots.size() > 6)
+                m_snapshots.pop_front();
+            apply(self, m_snapshots[m_random.below(m_snapshots.size())]);
         }
     }
 
-    /// Lets all entries read.
+    /// Lets all entries read the source.
     void settle()
     {
-        for (entry& one : m_entries)
-            read_all(one);
+        for (entry& self : m_entries)
+            read_all(self);
     }
 
-    /// Lets all entries hear of the first one, which alone can read.
-    void settle_by_first()
+    /// Lets the first entry read the source and relay its state to all others.
+    void settle_by_relay()
     {
         read_all(m_entries.front());
-        for (entry& one : m_entries)
-            take(one, m_entries.front().known.snapshot());
+        for (entry& self : m_entries)
+            apply(self, m_entries.front().known.snapshot());
     }
 
-    std::size_t entries_that_differ() const
+    std::size_t outdated_entries() const
     {
         std::size_t count = 0;
-        for (const entry& one : m_entries)
-            count += one.known.evacuated_zones() != evacuated_zones() ? 1 : 0;
+        for (const entry& self : m_entries)
+            count += self.known.evacuated_zones() != evacuated_zones() ? 1 : 0;
         return count;
     }
 
-    /// Returns how often an entry went back to what had held before.
-    std::size_t went_back() const { return m_went_back; }
+    /// Returns how often an entry held a state that was older than one it had
+    /// held before, or wrong as of its revision.
+    std::size_t regressions() const { return m_regressions; }
 
-    /// Returns how often an entry was wrong on whether it knows all.
-    std::size_t claimed() const { return m_claimed; }
+    /// Returns how often is_complete was wrong.
+    std::size_t wrong_completeness() const { return m_wrong_completeness; }
 
 private:
     struct entry
     {
         zone_evacuations known;
         std::uint64_t read_to = 0;
-        bool has_heard_all = false; ///< From one who had read all.
-        std::map<std::string, std::uint64_t> newest; ///< That it has taken.
+        /// Whether a snapshot based on a full list was received.
+        bool has_full_list = false;
+        /// Newest revision applied, by zone.
+        std::map<std::string, std::uint64_t> newest;
     };
 
-    void change()
+    void change_zone()
     {
         const std::string zone(1, static_cast<char>('a' + m_random.below(3)));
         ++m_revision;
-        const bool is_evacuated = !m_now.contains(zone);
+        const bool is_evacuated = !m_evacuated_since.contains(zone);
         if (is_evacuated)
-            m_now[zone] = m_revision;
+            m_evacuated_since[zone] = m_revision;
         else
-            m_now.erase(zone);
+            m_evacuated_since.erase(zone);
         m_changes.push_back({zone, m_revision, is_evacuated});
     }
 
-    void read_all(entry& one)
+    void read_all(entry& self)
     {
-        zone_snapshot words;
-        words.complete_as_of = m_revision;
-        for (const auto& [zone, revision] : m_now)
-            words.states.push_back({zone, m_revision, true});
-        take(one, words);
-        one.read_to = m_revision;
+        zone_snapshot received;
+        received.complete_as_of = m_revision;
+        for (const auto& [zone, revision] : m_evacuated_since)
+            received.states.push_back({zone, m_revision, true});
+        apply(self, received);
+        self.read_to = m_revision;
     }
 
-    void read_next(entry& one)
+    void read_next(entry& self)
     {
-        if (one.read_to == 0)
+        if (self.read_to == 0)
             return;
-        for (const zone_state& word : m_changes)
-            if (word.revision > one.read_to)
+        for (const zone_state& change : m_changes)
+            if (change.revision > self.read_to)
             {
-                take(one, {{word}, 0});
-                one.read_to = word.revision;
+                apply(self, {{change}, 0});
+                self.read_to = change.revision;
                 return;
             }
     }
 
-    void take(entry& one, const zone_snapshot& words)
+    void apply(entry& self, const zone_snapshot& received)
     {
-        one.known.merge(words);
-        one.has_heard_all = one.has_heard_all || words.complete_as_of > 0;
-        m_claimed += one.known.is_complete() != one.has_heard_all ? 1 : 0;
-        for (const zone_state& now : one.known.snapshot().states)
+        self.known.merge(received);
+        self.has_full_list = self.has_full_list || received.complete_as_of > 0;
+        m_wrong_completeness +=
+            self.known.is_complete() != self.has_full_list ? 1 : 0;
+        for (const zone_state& current : self.known.snapshot().states)
         {
-            std::uint64_t& newest = one.newest[now.zone];
-            m_went_back += now.revision < newest ? 1 : 0;
-            newest = std::max(newest, now.revision);
-            m_went_back += held(now) ? 0 : 1;
+            std::uint64_t& newest = self.newest[current.zone];
+            m_regressions += current.revision < newest ? 1 : 0;
+            newest = std::max(newest, current.revision);
+            m_regressions += was_valid(current) ? 0 : 1;
         }
     }
 
-    /// Whether what a word says held as of its revision.
-    bool held(const zone_state& word) const
+    /// Whether \a state is what the source had as of its revision.
+    bool was_valid(const zone_state& state) const
     {
         bool is_evacuated = false;
-        for (const zone_state& one : m_changes)
-            if (one.zone == word.zone && one.revision <= word.revision)
-                is_evacuated = one.is_evacuated;
-        return is_evacuated == word.is_evacuated;
+        for (const zone_state& change : m_changes)
+            if (change.zone == state.zone && change.revision <= state.revision)
+                is_evacuated = change.is_evacuated;
+        return is_evacuated == state.is_evacuated;
     }
 
     std::set<std::string> evacuated_zones() const
     {
         std::set<std::string> zones;
-        for (const auto& [zone, revision] : m_now)
+        for (const auto& [zone, revision] : m_evacuated_since)
             zones.insert(zone);
         return zones;
     }
 
     random_source m_random;
     std::vector<entry> m_entries;
-    std::deque<zone_snapshot> m_told;
-    std::map<std::string, std::uint64_t> m_now; ///< Evacuated, since when.
+    std::deque<zone_snapshot> m_snapshots;
+    /// Revision of the evacuation, by zone.
+    std::map<std::string, std::uint64_t> m_evacuated_since;
     std::vector<zone_state> m_changes;
     std::uint64_t m_revision = 1;
-    std::size_t m_went_back = 0;
-    std::size_t m_claimed = 0;
+    std::size_t m_regressions = 0;
+    std::size_t m_wrong_completeness = 0;
 };
 
-constexpr std::uint64_t worlds = 300;
+constexpr std::uint64_t simulations = 300;
 constexpr int steps = 60;
 
 } // namespace
 
-// Guards against entries that send into an evacuated zone, or leave one unused
-// for good, after words that came late, twice or not at all.
-TEST_CASE("whatever entries hear in whatever order, none goes back")
+// Guards against entries that send requests to an evacuated zone, or that never
+// use a zone again, after updates that came late, twice or not at all.
+TEST_CASE("entries never return to an older state for any order of updates")
 {
-    for (std::uint64_t seed = 1; seed <= worlds; ++seed)
+    for (std::uint64_t seed = 1; seed <= simulations; ++seed)
     {
         CAPTURE(seed);
-        zones_world world(seed);
+        zone_simulation run(seed);
         for (int step = 0; step < steps; ++step)
-            world.step();
-        CHECK(world.went_back() == 0);
-        CHECK(world.claimed() == 0);
+            run.step();
+        CHECK(run.regressions() == 0);
+        CHECK(run.wrong_completeness() == 0);
         if (seed % 2 == 0)
-            world.settle();
+            run.settle();
         else
-            world.settle_by_first();
-        CHECK(world.entries_that_differ() == 0);
+            run.settle_by_relay();
+        CHECK(run.outdated_entries() == 0);
     }
 }
--- a/tests/decision/zone_evacuations_test.cpp
+++ b/tests/decision/zone_evacuations_test.cpp
@@ -10,79 +10,81 @@
 
 using zones = std::set<std::string>;
 
-zone_evacuations knowing(const zone_snapshot& words)
+zone_evacuations evacuations_from(const zone_snapshot& received)
 {
-    zone_evacuations known;
-    known.merge(words);
-    return known;
+    zone_evacuations evacuations;
+    evacuations.merge(received);
+    return evacuations;
 }
 
 } // namespace
 
-// Guards against sending into zones before anybody has said which are
-// evacuated.
-TEST_CASE("evacuations are unknown until somebody has read all of them")
+// Guards against requests to an evacuated zone before the evacuations are
+// known.
+TEST_CASE("evacuations are incomplete until a full list was received")
 {
-    zone_evacuations own;
-    own.note({"a", 5, true});
-    CHECK_FALSE(own.is_complete());
-    own.merge({{}, 6});
-    CHECK(own.is_complete());
+    zone_evacuations evacuations;
+    evacuations.note({"a", 5, true});
+    CHECK_FALSE(evacuations.is_complete());
+    evacuations.merge({{}, 6});
+    CHECK(evacuations.is_complete());
 }
 
-// Guards against a late word that undoes a newer one.
-TEST_CASE("an older word on a zone changes nothing")
+// Guards against a late update that overrides a newer one.
+TEST_CASE("an older update about a zone is ignored")
 {
-    zone_evacuations own = knowing({{{"a", 5, true}}, 5});
-    CHECK(own.note({"a", 9, false}));
-    CHECK_FALSE(own.note({"a", 5, true}));
-    CHECK_FALSE(own.merge({{{"a", 8, true}}, 8}));
-    CHECK(own.evacuated_zones().empty());
+    zone_evacuations evacuations = evacuations_from({{{"a", 5, true}}, 5});
+    CHECK(evacuations.note({"a", 9, false}));
+    CHECK_FALSE(evacuations.note({"a", 5, true}));
+    CHECK_FALSE(evacuations.merge({{{"a", 8, true}}, 8}));
+    CHECK(evacuations.evacuated_zones().empty());
 }
 
-// Guards against an evacuation that is lost where the list that lacks it was
-// read before it.
+// Guards against an evacuation that ends since an older list does not contain
+// it.
 TEST_CASE("a list read before an evacuation does not end it")
 {
-    zone_evacuations own = knowing({{{"a", 7, true}}, 3});
-    CHECK_FALSE(own.merge({{}, 6}));
-    CHECK(own.evacuated_zones() == zones{"a"});
+    zone_evacuations evacuations = evacuations_from({{{"a", 7, true}}, 3});
+    CHECK_FALSE(evacuations.merge({{}, 6}));
+    CHECK(evacuations.evacuated_zones() == zones{"a"});
 }
 
-// Guards against a zone that stays unused where the word of its return was
-// missed.
-TEST_CASE("a whole list that lacks a zone takes it back")
+// Guards against a zone that stays unused after the update that ended its
+// evacuation was missed.
+TEST_CASE("a full list without a zone ends the evacuation of the zone")
 {
-    zone_evacuations own = knowing({{{"a", 7, true}, {"b", 8, true}}, 8});
-    CHECK(own.merge({{{"b", 12, true}}, 12}));
-    CHECK(own.evacuated_zones() == zones{"b"});
-    SUBCASE("for good")
+    zone_evacuations evacuations =
+        evacuations_from({{{"a", 7, true}, {"b", 8, true}}, 8});
+    CHECK(evacuations.merge({{{"b", 12, true}}, 12}));
+    CHECK(evacuations.evacuated_zones() == zones{"b"});
+    SUBCASE("which older updates do not revert")
     {
-        CHECK_FALSE(own.note({"a", 11, true}));
-        CHECK(own.evacuated_zones() == zones{"b"});
+        CHECK_FALSE(evacuations.note({"a", 11, true}));
+        CHECK(evacuations.evacuated_zones() == zones{"b"});
     }
 }
 
-// Guards against a restarted process that ends an evacuation it has not heard
-// of.
-TEST_CASE("an entry that knows nothing yet takes nothing back")
+// Guards against a restarted process that ends evacuations that it does not
+// know of yet.
+TEST_CASE("the snapshot of an entry without state ends no evacuation")
 {
-    zone_evacuations own = knowing({{{"a", 7, true}}, 7});
-    CHECK_FALSE(own.merge(zone_evacuations().snapshot()));
-    CHECK(own.evacuated_zones() == zones{"a"});
+    zone_evacuations evacuations = evacuations_from({{{"a", 7, true}}, 7});
+    CHECK_FALSE(evacuations.merge(zone_evacuations().snapshot()));
+    CHECK(evacuations.evacuated_zones() == zones{"a"});
 }
 
-TEST_CASE("what one entry knows makes another know the same")
+TEST_CASE("an entry that merges a snapshot has the state of its sender")
 {
-    const zone_evacuations own =
-        knowing({{{"a", 7, true}, {"b", 9, false}, {"c", 4, true}}, 8});
-    zone_evacuations other = knowing({{{"b", 6, true}}, 2});
-    other.merge(own.snapshot());
-    CHECK(other == own);
+    const zone_evacuations evacuations = evacuations_from(
+        {{{"a", 7, true}, {"b", 9, false}, {"c", 4, true}}, 8});
+    zone_evacuations other = evacuations_from({{{"b", 6, true}}, 2});
+    other.merge(evacuations.snapshot());
+    CHECK(other == evacuations);
 }
 
-// Guards against work for targets of an evacuated zone, by whatever list.
-TEST_CASE("targets of an evacuated zone get nothing until it is taken back")
+// Guards against requests to targets of an evacuated zone, also to targets that
+// are listed after the evacuation.
+TEST_CASE("targets of a zone get no requests until its evacuation ends")
 {
     target_directory directory;
     directory.set_source_available(true, instant{});
