--- a/tests/decision/catch_up_test.cpp
+++ b/tests/decision/catch_up_test.cpp
@@ -132,12 +132,12 @@
         sync.set_adoption_time(adoption_time);
         duration now{};
         for (; now < 120s; now += 50ms)
-            if (sync.should_request("unreachable", unavailable, at(now)) &&
+            if (sync.should_request("cut", unavailable, at(now)) &&
                 now.count() % 3 == 0)
-                sync.note_complete("unreachable", at(now));
+                sync.note_complete("cut", at(now));
         const duration max_wait = std::max<duration>(adoption_time, 1s);
         duration waited{};
-        while (!sync.should_request("reachable", unavailable, at(now + waited)))
+        while (!sync.should_request("whole", unavailable, at(now + waited)))
             waited += 10ms;
         CHECK(waited <= max_wait);
     }
--- a/tests/decision/target_directory_test.cpp
+++ b/tests/decision/target_directory_test.cpp
@@ -60,19 +60,19 @@
 TEST_CASE("entries that expire during an outage are kept for a while")
 {
     target_directory directory = available_directory();
-    directory.note(target("up", 5));
-    directory.note(target("down", 6));
+    directory.note(target("lives", 5));
+    directory.note(target("died", 6));
     directory.set_source_available(false, start + 1s);
     directory.note_full_list({}, 9, start + 6s);
     directory.set_source_available(true, start + 6s);
     CHECK(directory.serving("rerank").size() == 2);
 
-    directory.note(target("up", 10));
+    directory.note(target("lives", 10));
     directory.expire(start + 6s + target_directory::reregistration_time - 1ms);
-    CHECK(directory.find("down") != nullptr);
+    CHECK(directory.find("died") != nullptr);
     directory.expire(start + 6s + target_directory::reregistration_time);
-    CHECK(directory.find("down") == nullptr);
-    CHECK(directory.find("up") != nullptr);
+    CHECK(directory.find("died") == nullptr);
+    CHECK(directory.find("lives") != nullptr);
 }
 
 TEST_CASE(
@@ -268,13 +268,13 @@
 {
     target_directory directory = available_directory();
     directory.note_full_list({target("t1", 5)}, 9, start);
-    CHECK(directory.note(target("up", 8)));
-    CHECK(directory.find("up") != nullptr);
+    CHECK(directory.note(target("lives", 8)));
+    CHECK(directory.find("lives") != nullptr);
     // Peers get back the revision that they reported.
     CHECK(directory.all()[0].revision == 8);
-    CHECK(directory.note(target("up", 11)));
-    CHECK(directory.note(target("down", 7)));
+    CHECK(directory.note(target("lives", 11)));
+    CHECK(directory.note(target("died", 7)));
     directory.expire(start + target_directory::reregistration_time);
-    CHECK(directory.find("up") != nullptr);
-    CHECK(directory.find("down") == nullptr);
+    CHECK(directory.find("lives") != nullptr);
+    CHECK(directory.find("died") == nullptr);
 }
