--- a/packages/decision/target_directory.hpp
+++ b/packages/decision/target_directory.hpp
@@ -123,7 +123,7 @@
         std::uint64_t newest_revision = 0; ///< Of all updates about the target.
         bool is_removed = false;
         bool has_expired = false; ///< Not listed, but may register again.
-        std::optional<target_incarnation> last_left; ///< Last one seen leaving.
+        std::optional<target_incarnation> last_left; ///< Last seen leaving.
     };
 
     bool is_in_service(const record& known) const
--- a/tests/decision/target_directory_test.cpp
+++ b/tests/decision/target_directory_test.cpp
@@ -54,7 +54,8 @@
     CHECK(directory.find("t1") == nullptr);
 }
 
-// Guards against a lack of targets although all of them are up: list entries
+// Guards against requests refused for lack of targets although all of them are
+// up: list entries
 // expire during an outage of the source, the source returns without them, and
 // the targets take up to two seconds to register again.
 TEST_CASE("entries that expire during an outage are kept for a while")
