--- a/tests/decision/target_directory_test.cpp
+++ b/tests/decision/target_directory_test.cpp
@@ -55,9 +55,8 @@
 }
 
 // Guards against requests refused for lack of targets although all of them are
-// up: list entries
-// expire during an outage of the source, the source returns without them, and
-// the targets take up to two seconds to register again.
+// up: list entries expire during an outage of the source, the source returns
+// without them, and the targets take up to two seconds to register again.
 TEST_CASE("entries that expire during an outage are kept for a while")
 {
     target_directory directory = available_directory();
