--- a/packages/decision/call_planner.cpp
+++ b/packages/decision/call_planner.cpp
@@ -330,7 +330,8 @@
                             call.result_bytes, now + m_shape.result_lifetime);
 }
 
-void call_planner::note_memory_full(const target_start& target, instant now)
+void call_planner::note_memory_full(const target_incarnation& target,
+                                    instant now)
 {
     const auto found = m_targets.find(target);
     if (found != m_targets.end())
--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -18,7 +18,7 @@
 /// allows.
 struct planned_call
 {
-    target_start target;
+    target_incarnation target;
     std::vector<piece_ref> pieces;
     duration expected_time{};
     std::uint64_t result_bytes = 0; ///< Estimated size of the results.
@@ -54,7 +54,7 @@
     const catalog::call_shape& shape() const { return m_shape; }
 
     /// Sets the targets that may get calls, with their zones.
-    void set_targets(const std::map<target_start, std::string>& zones);
+    void set_targets(const std::map<target_incarnation, std::string>& zones);
 
     /// Adds a job. Its number must be unused.
     void add(stage_job job);
@@ -78,17 +78,19 @@
 
     /// Records that \a target made \a piece and stored the result as
     /// \a handle.
-    void note_piece_made(const piece_ref& piece, const target_start& target,
+    void note_piece_made(const piece_ref& piece,
+                         const target_incarnation& target,
                          const std::string& handle, instant now);
     /// Puts \a piece back among the waiting ones.
     void requeue_piece(const piece_ref& piece);
     /// Records that the target of \a call may have crashed because of it.
     void note_suspected_crash(const planned_call& call);
     /// Records that \a target had no memory left for a result.
-    void note_memory_full(const target_start& target, instant now);
+    void note_memory_full(const target_incarnation& target, instant now);
 
     /// Records that the result \a handle, made by \a target, was released.
-    void note_released(const target_start& target, const std::string& handle);
+    void note_released(const target_incarnation& target,
+                       const std::string& handle);
 
     /// A job removed from the planner, with the handles of the results made so
     /// far in the order of the pieces.
@@ -167,7 +169,7 @@
     removed_job remove(std::map<std::uint64_t, job_state>::iterator entry);
 
     catalog::call_shape m_shape;
-    std::map<target_start, stage_target> m_targets;
+    std::map<target_incarnation, stage_target> m_targets;
     std::map<std::uint64_t, job_state> m_jobs;
     std::vector<std::uint64_t> m_finished;
     std::size_t m_waiting_pieces = 0;
--- a/packages/decision/call_planner_targets.cpp
+++ b/packages/decision/call_planner_targets.cpp
@@ -10,11 +10,11 @@
 
 /// Whether \a listed holds another start of the target of \a start.
 template<typename Map>
-bool has_restarted(const target_start& start, const Map& listed)
+bool has_restarted(const target_incarnation& start, const Map& listed)
 {
-    const auto found = listed.lower_bound(target_start(start.id, 0));
+    const auto found = listed.lower_bound(target_incarnation(start.id, 0));
     return found != listed.end() && found->first.id == start.id &&
-           found->first.born != start.born;
+           found->first.started_ms != start.started_ms;
 }
 
 } // namespace
@@ -39,7 +39,8 @@
     }
 }
 
-void call_planner::set_targets(const std::map<target_start, std::string>& zones)
+void call_planner::set_targets(
+    const std::map<target_incarnation, std::string>& zones)
 {
     for (auto entry = m_targets.begin(); entry != m_targets.end();)
     {
--- a/packages/decision/crash_log.cpp
+++ b/packages/decision/crash_log.cpp
@@ -74,7 +74,7 @@
 std::uint64_t record_hash(const target_crash& crash)
 {
     return election_rank(to_text(crash.content) + crash.target.id,
-                         std::to_string(crash.target.born) + " " +
+                         std::to_string(crash.target.started_ms) + " " +
                              std::to_string(run_steps(crash)) +
                              (crash.is_refuted ? " refuted" : ""));
 }
@@ -195,8 +195,8 @@
                       [this](std::uint64_t change) { return refute(change); }));
 }
 
-std::size_t crash_log::note_alive(const target_start& target, instant opened,
-                                  instant now)
+std::size_t crash_log::note_alive(const target_incarnation& target,
+                                  instant opened, instant now)
 {
     const auto found = m_by_target.find(target);
     if (found == m_by_target.end())
@@ -215,7 +215,8 @@
                       [this](std::uint64_t change) { return refute(change); }));
 }
 
-bool crash_log::has_crashed(const target_start& target, instant time) const
+bool crash_log::has_crashed(const target_incarnation& target,
+                            instant time) const
 {
     const auto found = m_by_target.find(target);
     if (found == m_by_target.end())
--- a/packages/decision/crash_log.hpp
+++ b/packages/decision/crash_log.hpp
@@ -41,12 +41,12 @@
     /// \a opened, and refutes its crashes in between: a process that had ended
     /// would have closed the connection. Returns the number of newly refuted
     /// records.
-    std::size_t note_alive(const target_start& target, instant opened,
+    std::size_t note_alive(const target_incarnation& target, instant opened,
                            instant now);
 
     /// Whether \a target is known to have crashed before \a time and has not
     /// answered since.
-    bool has_crashed(const target_start& target, instant time) const;
+    bool has_crashed(const target_incarnation& target, instant time) const;
 
     /// One or more overlapping runs of a request that each crashed a target.
     /// Crashes at about the same time count as one incident.
@@ -74,7 +74,7 @@
     struct evidence
     {
         std::vector<incident> incidents; ///< Oldest first, without overlap.
-        std::vector<target_start> targets;
+        std::vector<target_incarnation> targets;
         instant last_crash_at{};
         std::vector<claim> claims; ///< Since the last crash.
 
@@ -113,7 +113,7 @@
     void expire(instant now);
 
 private:
-    using changes_by_target = std::map<target_start, std::uint64_t>;
+    using changes_by_target = std::map<target_incarnation, std::uint64_t>;
 
     /// The requests that were in progress when a target crashed.
     struct suspects
@@ -134,7 +134,7 @@
 
     std::map<std::uint64_t, target_crash> m_records; ///< By change number.
     std::unordered_map<digest, changes_by_target, digest_hash> m_by_content;
-    std::unordered_map<target_start, suspects> m_by_target;
+    std::unordered_map<target_incarnation, suspects> m_by_target;
     std::uint64_t m_last_change = 0;
     std::uint64_t m_summary = 0;
     instant m_newest_crash_at{};
--- a/packages/decision/engine_selector.cpp
+++ b/packages/decision/engine_selector.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-double engine_selector::uncached_tokens(const target_start& id,
+double engine_selector::uncached_tokens(const target_incarnation& id,
                                         const generation_request& work,
                                         instant now) const
 {
@@ -76,7 +76,7 @@
 
 const listed_target*
 engine_selector::choose(const std::vector<const listed_target*>& candidates,
-                        const std::set<target_start>& tried,
+                        const std::set<target_incarnation>& tried,
                         const generation_request& work, const std::string& zone,
                         instant now)
 {
@@ -89,13 +89,13 @@
     double least = 0;
     for (const listed_target* candidate : candidates)
     {
-        if (tried.contains(candidate->start))
+        if (tried.contains(candidate->incarnation))
             continue;
-        double cost = uncached_tokens(candidate->start, work, now);
+        double cost = uncached_tokens(candidate->incarnation, work, now);
         if (candidate == preferred.engine)
             cost = preferred_engine_cost(cost, preferred.is_replicated,
                                          shared_tokens, work);
-        const auto known = m_engines.find(candidate->start);
+        const auto known = m_engines.find(candidate->incarnation);
         if (known != m_engines.end())
         {
             cost += known->second.queued_tokens;
@@ -124,7 +124,7 @@
                   { return segment.second + cache_lifetime <= now; });
 }
 
-double engine_selector::note_sent(const target_start& id,
+double engine_selector::note_sent(const target_incarnation& id,
                                   const generation_request& work, instant now)
 {
     const double tokens = uncached_tokens(id, work, now);
@@ -138,19 +138,20 @@
     return tokens;
 }
 
-void engine_selector::note_prompt_read(const target_start& id, double tokens)
+void engine_selector::note_prompt_read(const target_incarnation& id,
+                                       double tokens)
 {
     engine_state& engine = m_engines[id];
     engine.queued_tokens = std::max(0.0, engine.queued_tokens - tokens);
 }
 
-void engine_selector::note_ended(const target_start& id)
+void engine_selector::note_ended(const target_incarnation& id)
 {
     engine_state& engine = m_engines[id];
     engine.running -= engine.running > 0 ? 1 : 0;
 }
 
-void engine_selector::note_failed(const target_start& id, bool is_refusal,
+void engine_selector::note_failed(const target_incarnation& id, bool is_refusal,
                                   instant now)
 {
     engine_state& engine = m_engines[id];
@@ -162,7 +163,7 @@
     engine.backoff_until = now + initial_backoff * (1U << doublings);
 }
 
-void engine_selector::note_answered(const target_start& id)
+void engine_selector::note_answered(const target_incarnation& id)
 {
     engine_state& engine = m_engines[id];
     engine.consecutive_failures = 0;
--- a/packages/decision/engine_selector.hpp
+++ b/packages/decision/engine_selector.hpp
@@ -39,27 +39,29 @@
     /// in \a tried; null if none is left.
     const listed_target*
     choose(const std::vector<const listed_target*>& candidates,
-           const std::set<target_start>& tried, const generation_request& work,
-           const std::string& zone, instant now);
+           const std::set<target_incarnation>& tried,
+           const generation_request& work, const std::string& zone,
+           instant now);
 
     /// Records that \a work was sent to \a id. Returns the prefill tokens that
     /// it adds there.
-    double note_sent(const target_start& id, const generation_request& work,
-                     instant now);
+    double note_sent(const target_incarnation& id,
+                     const generation_request& work, instant now);
 
     /// Records that \a id has read a prompt: \a tokens are no longer queued.
-    void note_prompt_read(const target_start& id, double tokens);
+    void note_prompt_read(const target_incarnation& id, double tokens);
 
-    void note_ended(const target_start& id);
+    void note_ended(const target_incarnation& id);
 
     /// Records that \a id did not answer, or that it refused the request.
-    void note_failed(const target_start& id, bool is_refusal, instant now);
+    void note_failed(const target_incarnation& id, bool is_refusal,
+                     instant now);
 
-    void note_answered(const target_start& id);
+    void note_answered(const target_incarnation& id);
 
     /// Returns the tokens of \a work that \a id would have to prefill, by what
     /// this entry has sent there.
-    double uncached_tokens(const target_start& id,
+    double uncached_tokens(const target_incarnation& id,
                            const generation_request& work, instant now) const;
 
 private:
@@ -74,7 +76,7 @@
 
     void prune(engine_state& engine, instant now);
 
-    std::unordered_map<target_start, engine_state> m_engines;
+    std::unordered_map<target_incarnation, engine_state> m_engines;
     prompt_affinity m_affinity;
 };
 
--- a/packages/decision/prompt_affinity.cpp
+++ b/packages/decision/prompt_affinity.cpp
@@ -122,7 +122,8 @@
     std::vector<std::pair<std::uint64_t, const listed_target*>> ranked;
     ranked.reserve(engines.size());
     for (const listed_target* engine : engines)
-        ranked.emplace_back(election_rank(shared, engine->start.id), engine);
+        ranked.emplace_back(election_rank(shared, engine->incarnation.id),
+                            engine);
     const std::size_t count = replica_count(shared, engines.size(), now);
     std::partial_sort(ranked.begin(),
                       ranked.begin() + static_cast<std::ptrdiff_t>(count),
--- a/packages/decision/quarantine.cpp
+++ b/packages/decision/quarantine.cpp
@@ -82,12 +82,12 @@
 
 } // namespace
 
-std::set<target_start>
+std::set<target_incarnation>
 targets_reserved_for_others(const ordinal& own,
-                            std::vector<target_start> targets)
+                            std::vector<target_incarnation> targets)
 {
     std::sort(targets.begin(), targets.end());
-    std::set<target_start> reserved;
+    std::set<target_incarnation> reserved;
     for (std::size_t index = 0; index < targets.size(); ++index)
         if (index % own.count != own.index)
             reserved.insert(targets[index]);
@@ -241,13 +241,14 @@
     return result;
 }
 
-void quarantine::note_sent(const digest& content, const target_start& target)
+void quarantine::note_sent(const digest& content,
+                           const target_incarnation& target)
 {
     m_in_progress[content].insert(target);
 }
 
 void quarantine::note_finished(const digest& content,
-                               const target_start& target)
+                               const target_incarnation& target)
 {
     const auto found = m_in_progress.find(content);
     if (found == m_in_progress.end())
@@ -262,10 +263,10 @@
 // If two suspected requests are in progress on a target that crashes, nothing
 // shows which of them caused the crash. On separate targets, the next crash or
 // the next completed run does.
-std::set<target_start>
+std::set<target_incarnation>
 quarantine::targets_of_others(const digest& content) const
 {
-    std::set<target_start> found;
+    std::set<target_incarnation> found;
     for (const auto& [other, targets] : m_in_progress)
         if (other != content)
             found.insert(targets.begin(), targets.end());
--- a/packages/decision/quarantine.hpp
+++ b/packages/decision/quarantine.hpp
@@ -22,9 +22,9 @@
 
 /// Returns those of \a targets that are reserved for other members: targets are
 /// assigned round-robin, and \a own is the position of the caller.
-std::set<target_start>
+std::set<target_incarnation>
 targets_reserved_for_others(const ordinal& own,
-                            std::vector<target_start> targets);
+                            std::vector<target_incarnation> targets);
 
 /// Stops sending a request to targets once several targets crashed while they
 /// ran it, and sends it to a single target from time to time to find out
@@ -94,12 +94,12 @@
 
     /// Notes that \a content, admitted as isolated or as a trial, was sent to
     /// \a target.
-    void note_sent(const digest& content, const target_start& target);
+    void note_sent(const digest& content, const target_incarnation& target);
     /// Notes that \a content is no longer in progress on \a target.
-    void note_finished(const digest& content, const target_start& target);
+    void note_finished(const digest& content, const target_incarnation& target);
 
     /// Returns the targets that run suspected requests other than \a content.
-    std::set<target_start> targets_of_others(const digest& content) const;
+    std::set<target_incarnation> targets_of_others(const digest& content) const;
 
     /// Removes all records that are too old.
     void expire(instant now);
@@ -119,7 +119,7 @@
     crash_log m_crashes;
     std::unordered_map<digest, instant, digest_hash> m_trial_started_at;
     std::unordered_map<digest, instant, digest_hash> m_served_at;
-    std::unordered_map<digest, std::multiset<target_start>, digest_hash>
+    std::unordered_map<digest, std::multiset<target_incarnation>, digest_hash>
         m_in_progress;
 };
 
--- a/packages/decision/stage_target.hpp
+++ b/packages/decision/stage_target.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/target_start.hpp"
+#include "decision/target_incarnation.hpp"
 #include "decision/time.hpp"
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 /// of a stage service.
 struct stage_target
 {
-    target_start start;
+    target_incarnation start;
     std::string zone;
     std::uint32_t calls_in_progress = 0; ///< Calls of this planner only.
     instant free_at{};                   ///< When they are expected to end.
--- a/packages/decision/target_crash.hpp
+++ b/packages/decision/target_crash.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decision/digest.hpp"
-#include "decision/target_start.hpp"
+#include "decision/target_incarnation.hpp"
 #include "decision/time.hpp"
 
 namespace mangofold::decision
@@ -12,7 +12,7 @@
 struct target_crash
 {
     digest content; ///< Of the request, see request_content.
-    target_start target;
+    target_incarnation target;
     instant started_at{}; ///< When the request was sent to the target.
     instant crashed_at{}; ///< When the connection to the target was lost.
     /// Whether the record no longer counts against the request, since the
--- a/packages/serving/target_losses.cpp
+++ b/packages/serving/target_losses.cpp
@@ -19,7 +19,7 @@
                      const decision::crash_log::evidence& found)
 {
     std::string targets;
-    for (const decision::target_start& one : found.targets)
+    for (const decision::target_incarnation& one : found.targets)
         targets += (targets.empty() ? "" : ",") + one.id;
     runtime::event("content_quarantined")
         .with("content", to_text(content))
@@ -42,7 +42,7 @@
     if (!request.empty() || found.incident_count() >= worth_a_line)
         runtime::event("target_ended")
             .with("target", one.target.id)
-            .with("born", one.target.born)
+            .with("born", one.target.started_ms)
             .with("content", to_text(one.content))
             .with("request", request)
             .with("from", from)
@@ -93,8 +93,8 @@
             .info();
 }
 
-void note_alive(entry_context& context, const decision::target_start& target,
-                instant opened)
+void note_alive(entry_context& context,
+                const decision::target_incarnation& target, instant opened)
 {
     decision::crash_log& ends = context.quarantine.crashes();
     if (!ends.is_empty())
--- a/tests/decision/call_planner_test.cpp
+++ b/tests/decision/call_planner_test.cpp
@@ -35,7 +35,7 @@
 call_planner make_planner(int targets)
 {
     call_planner planner(shape());
-    std::map<target_start, std::string> zones;
+    std::map<target_incarnation, std::string> zones;
     for (int index = 0; index < targets; ++index)
         zones["t" + std::to_string(index)] = "a";
     planner.set_targets(zones);
@@ -371,7 +371,7 @@
     CHECK(planner.stored_bytes() == 0);
     const auto next = planner.next_call(start);
     REQUIRE(next);
-    CHECK(next->target == target_start("t0", 200));
+    CHECK(next->target == target_incarnation("t0", 200));
 }
 
 // A draining target keeps its results until it exits.
--- a/tests/decision/engine_placement_simulation_test.cpp
+++ b/tests/decision/engine_placement_simulation_test.cpp
@@ -126,7 +126,7 @@
         instant read_at{};
         instant ends_at{};
         std::size_t entry = 0;
-        target_start target;
+        target_incarnation target;
         double tokens = 0;
         bool is_read = false;
     };
@@ -162,7 +162,7 @@
             m_candidates, {}, work, zone(entry % zone_count), m_now);
         const auto index = static_cast<std::size_t>(target - m_targets.data());
         const double expected_tokens =
-            selector.note_sent(target->start, work, m_now);
+            selector.note_sent(target->incarnation, work, m_now);
         engine& chosen = m_engines[index];
         const double tokens = read(chosen, work);
         chosen.free_at =
@@ -171,7 +171,7 @@
         m_read_times.push_back(chosen.free_at - m_now);
         m_running.push_back({chosen.free_at,
                              chosen.free_at + load.generation_time, entry,
-                             target->start, expected_tokens});
+                             target->incarnation, expected_tokens});
     }
 
     double read(engine& reader, const generation_request& work)
--- a/tests/decision/quarantine_mixed_world.hpp
+++ b/tests/decision/quarantine_mixed_world.hpp
@@ -132,7 +132,7 @@
             m_random() % static_cast<std::uint64_t>(time.count())));
     }
 
-    target_start start_of(std::size_t index) const
+    target_incarnation start_of(std::size_t index) const
     {
         return {"t" + std::to_string(index), m_targets[index].born};
     }
@@ -232,11 +232,11 @@
     std::vector<std::size_t> free_targets(const request& pending) const
     {
         const quarantine& guard = m_entries[pending.entry].guard;
-        std::vector<target_start> up;
+        std::vector<target_incarnation> up;
         for (std::size_t index = 0; index < m_targets.size(); ++index)
             if (m_now >= m_targets[index].restarts_at)
                 up.push_back(start_of(index));
-        std::set<target_start> excluded;
+        std::set<target_incarnation> excluded;
         if (pending.is_isolated)
             excluded = guard.targets_of_others(pending.content);
         if (pending.is_trial && m_now < pending.reserved_until)
--- a/tests/decision/quarantine_test.cpp
+++ b/tests/decision/quarantine_test.cpp
@@ -158,7 +158,7 @@
 {
     crash_log log;
     log.note(crash_after(2s, poison, "t1"), start + 2s);
-    const target_start target{"t1", 1};
+    const target_incarnation target{"t1", 1};
     CHECK(log.note_alive(target, start + 3s, start + 4s) == 0);
     // Bytes that were sent before the crash may be read shortly after it.
     CHECK(log.note_alive(target, start, start + 2100ms) == 0);
@@ -206,7 +206,7 @@
     quarantine guard;
     guard.note_sent(poison, {"t1", 1});
     CHECK(guard.targets_of_others(harmless) ==
-          std::set<target_start>{{"t1", 1}});
+          std::set<target_incarnation>{{"t1", 1}});
     CHECK(guard.targets_of_others(poison).empty());
     guard.note_finished(poison, {"t1", 1});
     CHECK(guard.targets_of_others(harmless).empty());
--- a/tests/decision/target_selection_test.cpp
+++ b/tests/decision/target_selection_test.cpp
@@ -1,5 +1,5 @@
 #include "decision/engine_selector.hpp"
-#include "decision/target_standing.hpp"
+#include "decision/target_health.hpp"
 
 #include <doctest/doctest.h>
 
@@ -35,22 +35,23 @@
 // Guards against callers that wait for the same dead target again and again.
 TEST_CASE("a target that does not answer twice is avoided, then tried again")
 {
-    target_standing standing(1);
+    target_health standing(1);
     const auto all = targets(2);
     for (int repeat = 0; repeat < 2; ++repeat)
     {
         standing.note_sent("t0");
-        standing.note_silent("t0", start);
+        standing.note_no_answer("t0", start);
     }
-    CHECK(standing.is_aside("t0", start));
+    CHECK(standing.is_ejected("t0", start));
     for (int repeat = 0; repeat < 20; ++repeat)
-        CHECK(standing.choose(pointers(all), {}, "a", start)->start.id == "t1");
-    CHECK_FALSE(standing.is_aside("t0", start + 250ms));
+        CHECK(standing.choose(pointers(all), {}, "a", start)->incarnation.id ==
+              "t1");
+    CHECK_FALSE(standing.is_ejected("t0", start + 250ms));
 }
 
 TEST_CASE("a target that became slow gets less work")
 {
-    target_standing standing(1);
+    target_health standing(1);
     const auto all = targets(2);
     for (int repeat = 0; repeat < 20; ++repeat)
     {
@@ -60,7 +61,8 @@
         standing.note_answered("t1", 20ms, false);
     }
     for (int repeat = 0; repeat < 20; ++repeat)
-        CHECK(standing.choose(pointers(all), {}, "a", start)->start.id == "t1");
+        CHECK(standing.choose(pointers(all), {}, "a", start)->incarnation.id ==
+              "t1");
 }
 
 // Guards against a target that gets almost no work for the rest of the day
@@ -69,7 +71,7 @@
 // that it has recovered.
 TEST_CASE("a target that was slow is found to have recovered")
 {
-    target_standing standing(1);
+    target_health standing(1);
     auto all = targets(4);
     for (auto& target : all)
         target.zone = "a";
@@ -79,7 +81,7 @@
         for (int request = 0; request < requests; ++request)
         {
             const auto id =
-                standing.choose(pointers(all), {}, "a", start)->start;
+                standing.choose(pointers(all), {}, "a", start)->incarnation;
             const bool is_first = id.id == "t0";
             sent += is_first ? 1 : 0;
             standing.note_sent(id);
@@ -97,7 +99,7 @@
 // A request that may not be repeated is lost if the target still fails.
 TEST_CASE("requests that may not be repeated probe no failing target")
 {
-    target_standing standing(1);
+    target_health standing(1);
     const auto all = targets(2);
     for (int repeat = 0; repeat < 20; ++repeat)
     {
@@ -108,29 +110,30 @@
     {
         standing.note_sent("t1");
         standing.note_answered("t1", 20ms, false);
-        CHECK(standing.choose(pointers(all), {}, "a", start, false)->start.id ==
-              "t1");
+        CHECK(standing.choose(pointers(all), {}, "a", start, false)
+                  ->incarnation.id == "t1");
     }
 }
 
 TEST_CASE("requests in flight count against a target")
 {
-    target_standing standing(1);
+    target_health standing(1);
     auto all = targets(3);
     for (auto& target : all)
         target.zone = "a";
     for (int repeat = 0; repeat < 30; ++repeat)
         standing.note_sent(
-            standing.choose(pointers(all), {}, "a", start)->start.id);
+            standing.choose(pointers(all), {}, "a", start)->incarnation.id);
     for (const auto& target : all)
-        CHECK(standing.in_flight(target.start.id) >= 8);
+        CHECK(standing.in_flight(target.incarnation.id) >= 8);
 }
 
 TEST_CASE("a target that was tried is not chosen again")
 {
-    target_standing standing(1);
+    target_health standing(1);
     const auto all = targets(2);
-    CHECK(standing.choose(pointers(all), {"t0"}, "a", start)->start.id == "t1");
+    CHECK(standing.choose(pointers(all), {"t0"}, "a", start)->incarnation.id ==
+          "t1");
     CHECK(standing.choose(pointers(all), {"t0", "t1"}, "a", start) == nullptr);
 }
 
@@ -144,11 +147,12 @@
     const auto* first = first_entry.choose(pointers(all), {}, work, "a", start);
     const auto* second =
         second_entry.choose(pointers(all), {}, work, "b", start);
-    CHECK(first->start.id == second->start.id);
-    first_entry.note_sent(first->start.id, work, start);
-    CHECK(first_entry.uncached_tokens(first->start.id, work, start + 1s) == 0);
-    CHECK(first_entry.uncached_tokens(first->start.id, work, start + 60s) ==
-          5500);
+    CHECK(first->incarnation.id == second->incarnation.id);
+    first_entry.note_sent(first->incarnation.id, work, start);
+    CHECK(first_entry.uncached_tokens(first->incarnation.id, work,
+                                      start + 1s) == 0);
+    CHECK(first_entry.uncached_tokens(first->incarnation.id, work,
+                                      start + 60s) == 5500);
 }
 
 // Guards against sending all requests about a popular topic to one engine,
@@ -166,8 +170,8 @@
                                       {}};
         const auto* chosen =
             selector.choose(pointers(all), {}, work, "a", start);
-        selector.note_sent(chosen->start.id, work, start);
-        used.insert(chosen->start.id);
+        selector.note_sent(chosen->incarnation.id, work, start);
+        used.insert(chosen->incarnation.id);
     }
     CHECK(used.size() >= 4);
 }
@@ -185,16 +189,16 @@
 // its cached segments are recorded by id, and restarts under the same id.
 TEST_CASE("a target that restarted under its id has no recorded state")
 {
-    target_standing standing(1);
-    const target_start before("t0", 100);
-    const target_start after("t0", 200);
+    target_health standing(1);
+    const target_incarnation before("t0", 100);
+    const target_incarnation after("t0", 200);
     for (int repeat = 0; repeat < 2; ++repeat)
     {
         standing.note_sent(before);
-        standing.note_silent(before, start);
+        standing.note_no_answer(before, start);
     }
-    CHECK(standing.is_aside(before, start));
-    CHECK_FALSE(standing.is_aside(after, start));
+    CHECK(standing.is_ejected(before, start));
+    CHECK_FALSE(standing.is_ejected(after, start));
     CHECK(standing.in_flight(after) == 0);
 
     engine_selector selector;
