--- a/packages/entry/check_command.cpp
+++ b/packages/entry/check_command.cpp
@@ -15,7 +15,7 @@
     std::ifstream file(path);
     if (!file)
     {
-        std::cerr << "cannot read " << path << '\n';
+        std::cerr << "cannot read manifest file " << path << '\n';
         return runtime::exit_failed;
     }
     std::ostringstream text;
@@ -23,15 +23,15 @@
     try
     {
         const manifest::document value = manifest::parse(text.str());
-        std::cout << path << ": good, generation " << value.generation << ", "
+        std::cout << path << ": valid, generation " << value.generation << ", "
                   << value.pipelines.size() << " pipelines, "
                   << value.pools.size() << " pools, " << value.accounts.size()
                   << " client accounts\n";
         return runtime::exit_ok;
     }
-    catch (const manifest::manifest_error& fault)
+    catch (const manifest::manifest_error& error)
     {
-        std::cerr << path << ": " << fault.what() << '\n';
+        std::cerr << path << ": " << error.what() << '\n';
         return runtime::exit_bad_manifest;
     }
 }
--- a/packages/entry/content_guard.hpp
+++ b/packages/entry/content_guard.hpp
@@ -14,46 +14,52 @@
 namespace mangofold::entry
 {
 
-/// Keeps stages of requests that end their targets from them. For all threads.
+/// Stops sending request contents to targets that crash while they run them.
+///
+/// Wraps decision::quarantine for the pipeline runner: records the crashes that
+/// sidecars report, and blocks or refuses stages whose content is suspected.
+/// All functions may be called from any thread.
 class content_guard
 {
 public:
-    content_guard(const runtime::clock& time, runtime::metrics& counters)
-        : m_clock(time), m_metrics(counters)
+    content_guard(const runtime::clock& clock, runtime::metrics& metrics)
+        : m_clock(clock), m_metrics(metrics)
     {
     }
 
-    /// Sets what the place of this entry among all is asked of.
-    void set_seat(std::function<decision::ordinal()> seat);
+    /// Sets the function that returns the position of this entry among all.
+    void set_seat(std::function<decision::ordinal()> own_ordinal);
 
-    /// Returns when \a content may be sent to a target, where it may not be
-    /// sent now. Waits while it is in doubt, until \a deadline; what comes to
-    /// \a replies meanwhile answers attempts that were given up.
+    /// Returns the delay after which to resend \a content if it must not be
+    /// sent to a target, or nothing if it may be sent now. Blocks while the
+    /// decision depends on a running trial, until \a deadline at the latest,
+    /// and discards what arrives in \a replies meanwhile, since that answers
+    /// abandoned attempts.
     std::optional<decision::duration> keep_back(const decision::digest& content,
                                                 decision::instant deadline,
                                                 mailbox& replies);
 
-    /// Notes what a sidecar says of its target.
-    void note_end(const decision::target_crash& one);
+    /// Records \a crash, as reported by the sidecar of the target.
+    void note_end(const decision::target_crash& crash);
 
-    /// Notes that a target ran \a content to its end.
+    /// Notes that a target completed \a content.
     void note_served(const decision::digest& content);
 
 private:
-    using seen_end = std::pair<decision::digest, decision::target_start>;
+    using crash_key = std::pair<decision::digest, decision::target_start>;
 
     decision::quarantine::verdict judge(const decision::digest& content);
-    void dismiss(const seen_end& one);
+    void ignore(const crash_key& key);
     void expire(decision::instant now);
 
     const runtime::clock& m_clock;
     runtime::metrics& m_metrics;
     std::mutex m_mutex;
-    std::function<decision::ordinal()> m_seat = []
+    std::function<decision::ordinal()> m_own_ordinal = []
     { return decision::ordinal(); };
-    decision::quarantine m_known;
-    std::set<seen_end> m_dismissed; ///< Ends that speak against nothing.
-    decision::instant m_expired_at{};
+    decision::quarantine m_quarantine;
+    std::set<crash_key> m_ignored_crashes; ///< Not held against any request.
+    decision::instant m_last_expired_at{};
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/dispatcher.hpp
+++ b/packages/entry/dispatcher.hpp
@@ -11,7 +11,7 @@
 namespace mangofold::entry
 {
 
-/// Names a submission that left, for its cancellation.
+/// Identifies a submission that was sent, so that it can be cancelled.
 struct dispatched
 {
     std::string target;
@@ -19,23 +19,25 @@
     std::uint64_t incarnation = 0;
 };
 
-/// Hands submissions to the sidecars.
+/// The interface through which the pipeline runner reaches the sidecars. Tests
+/// replace it by a mock.
 class dispatcher
 {
 public:
     virtual ~dispatcher() = default;
 
-    /// Sends \a work to \a target. Returns nothing where it did not leave;
-    /// otherwise exactly one mail about it arrives in \a replies, unless it
-    /// is withdrawn before.
+    /// Sends \a work to the sidecar of \a target. Returns nothing if it could
+    /// not be sent; otherwise exactly one message about it arrives in
+    /// \a replies, unless it is cancelled first.
     virtual std::optional<dispatched>
     submit(const std::string& target, decision::submission work,
            const std::shared_ptr<mailbox>& replies) = 0;
 
-    /// Says that nobody waits for \a sent any more.
+    /// Cancels \a sent: its result is no longer awaited.
     virtual void withdraw(const dispatched& sent) = 0;
 
-    /// Asks \a target for a ticket. Returns whether the wish left.
+    /// Asks the sidecar of \a target for a ticket, which arrives in
+    /// \a replies. Returns whether the request was sent.
     virtual bool mint(const std::string& target,
                       const std::shared_ptr<mailbox>& replies) = 0;
 };
--- a/packages/entry/entry.cpp
+++ b/packages/entry/entry.cpp
@@ -19,75 +19,73 @@
 std::uint64_t random_seed()
 {
     std::random_device source;
-    const std::uint64_t high = source();
-    return high << 32U | source();
+    const std::uint64_t high_bits = source();
+    return high_bits << 32U | source();
 }
 
 } // namespace
 
-entry::entry(entry_settings values, const runtime::clock& time)
-    : m_settings(std::move(values)), m_clock(time), m_store(m_metrics),
-      m_router(m_settings.zone, time, random_seed()), m_context{m_settings.id,
-                                                                m_settings.zone,
-                                                                time,
-                                                                m_metrics,
-                                                                m_store,
-                                                                m_router},
+entry::entry(entry_settings values, const runtime::clock& clock)
+    : m_settings(std::move(values)), m_clock(clock), m_store(m_metrics),
+      m_router(m_settings.zone, clock, random_seed()),
+      m_context{m_settings.id, m_settings.zone, clock,
+                m_metrics,     m_store,         m_router},
       m_links(m_context, m_settings.links_per_pool),
-      m_runner(m_links, m_router, time, m_metrics),
-      m_callers(m_runner, m_store, m_links, time, m_metrics,
+      m_runner(m_links, m_router, clock, m_metrics),
+      m_callers(m_runner, m_store, m_links, clock, m_metrics,
                 m_settings.max_in_progress),
       m_platform(m_settings.platform, m_store, m_metrics,
                  configuration::platform_reader::mode::watch, {},
                  random_seed()),
-      m_tree("entry", time)
+      m_supervisor("entry", clock)
 {
-    add_parts();
+    add_children();
 }
 
 entry::~entry() = default;
 
 void entry::start()
 {
-    m_tree.start();
+    m_supervisor.start();
     runtime::event("started").with("listen", m_settings.listen.text()).info();
 }
 
 void entry::stop()
 {
     m_callers.set_draining();
-    const decision::instant latest =
+    const decision::instant deadline =
         m_clock.now() + std::chrono::milliseconds(m_settings.drain_ms);
-    constexpr std::chrono::milliseconds step{20};
-    while (m_callers.in_progress() > 0 && m_clock.now() < latest)
-        std::this_thread::sleep_for(step);
+    constexpr std::chrono::milliseconds poll_interval{20};
+    while (m_callers.in_progress() > 0 && m_clock.now() < deadline)
+        std::this_thread::sleep_for(poll_interval);
     runtime::event("drained")
         .with("in_progress", m_callers.in_progress())
         .info();
-    // Answers that were just written need a moment to leave.
-    std::this_thread::sleep_for(step);
+    // Give responses that were just written time to be sent.
+    std::this_thread::sleep_for(poll_interval);
     m_platform.set_stopping();
     m_links.close();
-    m_tree.stop();
+    m_supervisor.stop();
 }
 
-void entry::add_parts()
+void entry::add_children()
 {
-    m_context.note_target_end = [this](const decision::target_crash& one)
-    { m_runner.contents().note_end(one); };
-    // Nobody knows the others' names here: two can have one place.
+    m_context.note_target_end = [this](const decision::target_crash& crash)
+    { m_runner.contents().note_end(crash); };
+    // An entry does not know the names of the other entries, so two of them
+    // can have the same ordinal.
     m_runner.contents().set_seat(
         [this]
         {
-            const auto of = static_cast<std::size_t>(m_links.entry_count());
-            const auto own = decision::digest_of(m_settings.id).low;
-            return decision::ordinal{own % std::max<std::size_t>(1, of),
-                                     std::max<std::size_t>(1, of)};
+            const auto count = static_cast<std::size_t>(m_links.entry_count());
+            const auto hash = decision::digest_of(m_settings.id).low;
+            return decision::ordinal{hash % std::max<std::size_t>(1, count),
+                                     std::max<std::size_t>(1, count)};
         });
-    m_store.add_listener([this](const configuration::snapshot_ptr& value)
-                         { m_router.configure(value); });
-    m_store.add_listener([this](const configuration::snapshot_ptr& value)
-                         { m_links.configure(value); });
+    m_store.add_listener([this](const configuration::snapshot_ptr& snapshot)
+                         { m_router.configure(snapshot); });
+    m_store.add_listener([this](const configuration::snapshot_ptr& snapshot)
+                         { m_links.configure(snapshot); });
     m_store.add_listener([this](const configuration::snapshot_ptr&)
                          { m_links.announce_generation(); });
     m_platform.set_leaving_listener([this](const std::set<std::string>& targets)
@@ -95,7 +93,7 @@
     for (const runtime::address& seed : m_settings.seeds)
         m_links.add_seed(seed.text());
 
-    m_tree.add(std::make_unique<runtime::looping_child>(
+    m_supervisor.add(std::make_unique<runtime::looping_child>(
         "link_keeper",
         [this]
         {
@@ -103,17 +101,17 @@
             m_links.maintain();
             return interval;
         }));
-    m_tree.add(std::make_unique<runtime::looping_child>(
+    m_supervisor.add(std::make_unique<runtime::looping_child>(
         "manifest_reader", [this] { return m_platform.read_manifest(); }));
-    m_tree.add(std::make_unique<runtime::looping_child>(
+    m_supervisor.add(std::make_unique<runtime::looping_child>(
         "instances_reader",
         [this]
         {
             return m_platform.read_instances(
                 static_cast<std::uint32_t>(m_links.entries_per_sidecar()));
         }));
-    m_tree.add(caller_server());
-    m_tree.add(admin_server());
+    m_supervisor.add(caller_server());
+    m_supervisor.add(admin_server());
 }
 
 std::unique_ptr<runtime::http_server> entry::caller_server()
@@ -153,7 +151,7 @@
                               {"draining", m_callers.is_draining()},
                               {"in_progress", m_callers.in_progress()},
                               {"entries", m_links.entry_count()},
-                              {"restarted_parts", m_tree.restarts()}};
+                              {"restarted_parts", m_supervisor.restarts()}};
     return {200, "application/json", body.dump(), 0};
 }
 
--- a/packages/entry/entry.hpp
+++ b/packages/entry/entry.hpp
@@ -15,25 +15,28 @@
 namespace mangofold::entry
 {
 
-/// The supervisor tree of an entry.
+/// An entry process: accepts the requests of clients over HTTP and runs them
+/// through the stages of their pipelines on the targets.
+///
+/// Owns all components and runs their threads under a supervisor.
 class entry
 {
 public:
-    entry(entry_settings values, const runtime::clock& time);
+    entry(entry_settings values, const runtime::clock& clock);
     ~entry();
 
-    /// Starts every part.
+    /// Starts all components.
     void start();
 
-    /// Restarts parts that failed. To be called often.
-    void check() { m_tree.check(); }
+    /// Restarts components that failed. Must be called periodically.
+    void check() { m_supervisor.check(); }
 
-    /// Refuses new requests, waits for those in progress, and stops every
-    /// part.
+    /// Refuses new requests, waits for those in progress up to the drain
+    /// timeout, and stops all components.
     void stop();
 
 private:
-    void add_parts();
+    void add_children();
     std::unique_ptr<runtime::http_server> caller_server();
     std::unique_ptr<runtime::http_server> admin_server();
     runtime::http_reply status() const;
@@ -49,7 +52,7 @@
     pipeline_runner m_runner;
     caller_api m_callers;
     configuration::platform_reader m_platform;
-    runtime::supervisor m_tree;
+    runtime::supervisor m_supervisor;
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/entry_settings.cpp
+++ b/packages/entry/entry_settings.cpp
@@ -15,10 +15,10 @@
 std::vector<runtime::address> parse_seeds(const std::string& text)
 {
     std::vector<runtime::address> seeds;
-    std::istringstream all(text);
-    std::string one;
-    while (std::getline(all, one, ','))
-        seeds.push_back(runtime::parse_flag("seeds", one));
+    std::istringstream stream(text);
+    std::string seed;
+    while (std::getline(stream, seed, ','))
+        seeds.push_back(runtime::parse_flag("seeds", seed));
     return seeds;
 }
 
@@ -27,31 +27,31 @@
 void add_flags(runtime::settings& flags)
 {
     const entry_settings defaults;
-    const auto number = [](unsigned otherwise)
-    { return po::value<unsigned>()->default_value(otherwise); };
+    const auto number = [](unsigned default_value)
+    { return po::value<unsigned>()->default_value(default_value); };
     auto add = flags.known().add_options();
     add("help", "print this text");
     add("version", "print the version");
-    add("id", po::value<std::string>(), "id of this entry");
+    add("id", po::value<std::string>(), "ID of this entry");
     add("zone", po::value<std::string>(), "availability zone");
-    add("listen", po::value<std::string>(), "IP:port for callers");
+    add("listen", po::value<std::string>(), "IP:port for clients");
     add("admin", po::value<std::string>(),
         "IP:port for /metrics, /healthz, /readyz and /status");
     add("platform", po::value<std::string>(),
         "IP:port of the configuration service and instance list");
     add("seeds", po::value<std::string>()->default_value(""),
-        "IP:port of sidecars, parted by commas, that can tell the manifest "
-        "while the configuration service is down");
+        "comma-separated IP:port of sidecars to read the manifest from while "
+        "the configuration service is down");
     add("http-threads", number(defaults.http_threads),
-        "threads for callers (4-4096)");
+        "threads that serve clients (4-4096)");
     add("max-in-progress", number(defaults.max_in_progress),
-        "requests in progress, less than --http-threads (1-4095)");
+        "maximum requests in progress, less than --http-threads (1-4095)");
     add("max-body-bytes", number(defaults.max_body_bytes),
-        "largest body of a request (1024-16777216)");
+        "maximum size of a request body (1024-16777216)");
     add("links-per-pool", number(defaults.links_per_pool),
-        "sidecars of a pool that this entry works with (2-1024)");
+        "sidecars of each pool to connect to (2-1024)");
     add("drain-ms", number(defaults.drain_ms),
-        "longest wait for requests in progress at a stop (0-600000)");
+        "maximum wait for requests in progress at shutdown (0-600000)");
     add("log-level", po::value<std::string>()->default_value("info"),
         "trace, debug, info, warning, error or off");
 }
@@ -71,7 +71,8 @@
     value.links_per_pool = flags.bounded("links-per-pool", 2, 1024);
     value.drain_ms = flags.bounded("drain-ms", 0, 600'000);
     value.log_level = flags.value<std::string>("log-level");
-    // With as many threads as requests, none would be left to say "busy".
+    // With as many requests as threads, no thread would be left to refuse
+    // further requests.
     if (value.max_in_progress >= value.http_threads)
         throw runtime::settings_error(
             "--max-in-progress must be less than --http-threads");
--- a/packages/entry/entry_settings.hpp
+++ b/packages/entry/entry_settings.hpp
@@ -9,7 +9,7 @@
 namespace mangofold::entry
 {
 
-/// The checked settings of an entry.
+/// The validated settings of an entry.
 struct entry_settings
 {
     std::string id;
@@ -29,10 +29,11 @@
                            const entry_settings&) = default;
 };
 
-/// Adds the entry's flags to \a flags.
+/// Adds the command-line flags of an entry to \a flags.
 void add_flags(runtime::settings& flags);
 
-/// Returns the settings in \a flags. Throws runtime::settings_error.
+/// Returns the settings in \a flags. Throws runtime::settings_error if a value
+/// is missing or out of range.
 entry_settings checked(const runtime::settings& flags);
 
 } // namespace mangofold::entry
--- a/packages/entry/link_table.cpp
+++ b/packages/entry/link_table.cpp
@@ -13,27 +13,27 @@
 {
 }
 
-void link_table::configure(const configuration::snapshot_ptr& value)
+void link_table::configure(const configuration::snapshot_ptr& snapshot)
 {
-    std::vector<link_ptr> ended;
+    std::vector<link_ptr> closed;
     {
         const std::lock_guard lock(m_mutex);
         m_addresses.clear();
         std::set<std::string> wanted;
-        for (const manifest::pool& pool : value->document.pools)
+        for (const manifest::pool& pool : snapshot->document.pools)
         {
-            for (const manifest::target& one : pool.targets)
-                m_addresses[one.id] = one.sidecar;
+            for (const manifest::target& target : pool.targets)
+                m_addresses[target.id] = target.sidecar;
             wanted.merge(subset(pool));
         }
         for (auto link = m_links.begin(); link != m_links.end();)
         {
-            const auto known = m_addresses.find(link->first);
-            const bool stays = known != m_addresses.end() &&
-                               known->second == link->second->address();
-            if (!stays)
-                ended.push_back(link->second);
-            link = stays ? std::next(link) : m_links.erase(link);
+            const auto address = m_addresses.find(link->first);
+            const bool is_kept = address != m_addresses.end() &&
+                                 address->second == link->second->address();
+            if (!is_kept)
+                closed.push_back(link->second);
+            link = is_kept ? std::next(link) : m_links.erase(link);
         }
         for (const std::string& target : wanted)
         {
@@ -42,33 +42,35 @@
                     m_context, target, m_addresses.at(target));
         }
     }
-    for (const link_ptr& link : ended)
+    for (const link_ptr& link : closed)
         link->close();
 }
 
-// A full mesh would cost each process more memory than it has at the size
-// to design for. Every entry takes its own part of a pool, its zone first;
-// rendezvous hashing keeps the parts even and lets few links change.
+// At the fleet size that the system is designed for, a full mesh would need
+// more memory than each process has. Each entry therefore links to a subset of
+// a pool, preferring its own zone. Rendezvous hashing keeps the subsets
+// balanced and changes few links when the pool changes.
 std::set<std::string> link_table::subset(const manifest::pool& pool) const
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
-    for (const manifest::target& one : pool.targets)
-        (one.zone == m_context.zone ? near : far).push_back(one.id);
+    std::vector<std::string> local;
+    std::vector<std::string> remote;
+    for (const manifest::target& target : pool.targets)
+        (target.zone == m_context.zone ? local : remote).push_back(target.id);
     const decision::digest own =
         decision::digest_of(m_context.entry_id, pool.id);
     std::set<std::string> chosen;
-    const auto take = [&](std::vector<std::string> targets, std::size_t most)
+    const auto add_in_order =
+        [&](std::vector<std::string> targets, std::size_t max_links)
     {
         for (std::string& target : decision::owner_order(own, targets))
         {
-            if (chosen.size() < most)
+            if (chosen.size() < max_links)
                 chosen.insert(std::move(target));
         }
     };
-    const std::size_t kept_for_far = m_links_per_pool / 4;
-    take(std::move(near), m_links_per_pool - kept_for_far);
-    take(std::move(far), m_links_per_pool);
+    const std::size_t reserved_for_remote = m_links_per_pool / 4;
+    add_in_order(std::move(local), m_links_per_pool - reserved_for_remote);
+    add_in_order(std::move(remote), m_links_per_pool);
     return chosen;
 }
 
@@ -102,7 +104,7 @@
     for (const std::string& target : targets)
     {
         m_context.routes.target_left(target);
-        if (const link_ptr link = link_to(target))
+        if (const link_ptr link = find_or_open(target))
             link->announce_leaving();
     }
 }
@@ -118,9 +120,9 @@
 
 double link_table::entry_count() const
 {
-    const double seen = entries_per_sidecar();
+    const double per_sidecar = entries_per_sidecar();
     const std::lock_guard lock(m_mutex);
-    return decision::estimated_entry_count(seen, m_addresses.size(),
+    return decision::estimated_entry_count(per_sidecar, m_addresses.size(),
                                            m_links.size());
 }
 
@@ -128,7 +130,7 @@
 link_table::submit(const std::string& target, decision::submission work,
                    const std::shared_ptr<mailbox>& replies)
 {
-    const link_ptr link = link_to(target);
+    const link_ptr link = find_or_open(target);
     if (!link)
         return std::nullopt;
     return link->submit(std::move(work), replies);
@@ -136,30 +138,30 @@
 
 void link_table::withdraw(const dispatched& sent)
 {
-    if (const link_ptr link = link_to(sent.target))
+    if (const link_ptr link = find_or_open(sent.target))
         link->withdraw(sent.number);
 }
 
 bool link_table::mint(const std::string& target,
                       const std::shared_ptr<mailbox>& replies)
 {
-    const link_ptr link = link_to(target);
+    const link_ptr link = find_or_open(target);
     return link && link->mint(replies);
 }
 
-// The owner of a request that may not be repeated can lie outside this
-// entry's part of the pool; its link is then opened on first use.
-link_table::link_ptr link_table::link_to(const std::string& target)
+// The owner of a request that must not be repeated can be outside the subset of
+// this entry. The link to it is then opened on first use.
+link_table::link_ptr link_table::find_or_open(const std::string& target)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_links.find(target);
     if (found != m_links.end())
         return found->second;
-    const auto known = m_addresses.find(target);
-    if (known == m_addresses.end())
+    const auto address = m_addresses.find(target);
+    if (address == m_addresses.end())
         return nullptr;
     auto link =
-        std::make_shared<sidecar_link>(m_context, target, known->second);
+        std::make_shared<sidecar_link>(m_context, target, address->second);
     m_links[target] = link;
     link->maintain();
     return link;
--- a/packages/entry/link_table.hpp
+++ b/packages/entry/link_table.hpp
@@ -12,36 +12,41 @@
 namespace mangofold::entry
 {
 
-/// The links of an entry, one for each sidecar it works with.
+/// The links of an entry, one to each sidecar that the entry sends work to.
+///
+/// In large pools an entry links to a subset of the sidecars only. All
+/// functions may be called from any thread.
 class link_table : public dispatcher
 {
 public:
     link_table(const link_context& context, std::size_t links_per_pool);
 
-    /// Takes the sidecars of a manifest over.
-    void configure(const configuration::snapshot_ptr& value);
+    /// Adds and closes links so that they match the manifest in \a snapshot.
+    void configure(const configuration::snapshot_ptr& snapshot);
 
-    /// Adds a sidecar of which only the address is known, to hear the first
-    /// manifest from it.
+    /// Adds a link to a sidecar of which only the address is known, to receive
+    /// the first manifest from it.
     void add_seed(const std::string& address);
 
-    /// Opens links that are down, ends silent ones. To be called often.
+    /// Opens links that are down and closes silent ones. Must be called
+    /// periodically.
     void maintain();
 
-    /// Ends every link.
+    /// Closes all links for good.
     void close();
 
-    /// Tells every sidecar the generation in force.
+    /// Sends the current manifest generation to all sidecars.
     void announce_generation();
 
-    /// Notes which targets the platform calls leaving, and tells them. To be
-    /// repeated for as long as it does.
+    /// Stops routing to \a targets, which the platform reports as leaving, and
+    /// tells their sidecars. Must be repeated while the platform lists them.
     void note_leaving(const std::set<std::string>& targets);
 
-    /// Returns how many entries one sidecar sees on average.
+    /// Returns the average number of entries connected to a sidecar.
     double entries_per_sidecar() const;
 
-    /// Returns how many entries there are, as estimated from that.
+    /// Returns the estimated total number of entries, see
+    /// decision::estimated_entry_count().
     double entry_count() const;
 
     std::optional<dispatched>
@@ -54,15 +59,16 @@
 private:
     using link_ptr = std::shared_ptr<sidecar_link>;
 
+    /// Returns the ids of the targets of \a pool that this entry links to.
     std::set<std::string> subset(const manifest::pool& pool) const;
-    link_ptr link_to(const std::string& target);
+    link_ptr find_or_open(const std::string& target);
     std::map<std::string, link_ptr> links() const;
 
     const link_context& m_context;
     std::size_t m_links_per_pool;
     mutable std::mutex m_mutex;
     std::map<std::string, link_ptr> m_links;
-    std::map<std::string, std::string> m_addresses;
+    std::map<std::string, std::string> m_addresses; ///< By target id.
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/mailbox.hpp
+++ b/packages/entry/mailbox.hpp
@@ -14,7 +14,7 @@
 namespace mangofold::entry
 {
 
-/// A sidecar's word on one submission, as it arrived.
+/// The result of a submission, as received from a sidecar.
 struct result_arrived
 {
     std::string target;
@@ -24,14 +24,15 @@
     decision::stage_result result;
 };
 
-/// The stream ended while a submission was under way.
+/// The stream to a sidecar ended while a submission was in progress.
 struct link_broke
 {
     std::string target;
     std::uint32_t attempt = 0;
 };
 
-/// A sidecar's answer to the wish for a ticket; empty where it refused.
+/// The reply of a sidecar to a ticket request; empty if the sidecar refused or
+/// the stream ended.
 struct ticket_arrived
 {
     std::optional<decision::ticket> value;
@@ -39,29 +40,30 @@
 
 using mail = std::variant<result_arrived, link_broke, ticket_arrived>;
 
-/// What arrives for one request in progress, for the thread that waits.
+/// Queues the replies of sidecars to one request in progress for the thread
+/// that runs the request.
 class mailbox
 {
 public:
-    void put(mail one)
+    void put(mail message)
     {
         {
             const std::lock_guard lock(m_mutex);
-            m_mail.push_back(std::move(one));
+            m_mail.push_back(std::move(message));
         }
         m_arrived.notify_one();
     }
 
-    /// Returns the next mail, or nothing where none came within \a wait.
-    std::optional<mail> take(decision::duration wait)
+    /// Returns the next message, or nothing if none arrives within \a timeout.
+    std::optional<mail> take(decision::duration timeout)
     {
         std::unique_lock lock(m_mutex);
-        m_arrived.wait_for(lock, wait, [this] { return !m_mail.empty(); });
+        m_arrived.wait_for(lock, timeout, [this] { return !m_mail.empty(); });
         if (m_mail.empty())
             return std::nullopt;
-        mail one = std::move(m_mail.front());
+        mail message = std::move(m_mail.front());
         m_mail.pop_front();
-        return one;
+        return message;
     }
 
 private:
--- a/packages/entry/main.cpp
+++ b/packages/entry/main.cpp
@@ -11,8 +11,8 @@
 {
     if (argc == 3 && std::string(argv[1]) == "check")
         return entry::check_manifest(argv[2]);
-    runtime::settings flags("mangofold-entry: takes callers' requests in\n"
-                            "mangofold-entry check FILE: checks a manifest");
+    runtime::settings flags("mangofold-entry: accepts the requests of clients\n"
+                            "mangofold-entry check FILE: validates a manifest");
     entry::add_flags(flags);
     entry::entry_settings values;
     try
@@ -22,14 +22,14 @@
             return runtime::exit_ok;
         values = entry::checked(flags);
         if (!runtime::start_log("entry", values.id, values.log_level))
-            throw runtime::settings_error("--log-level is not known");
+            throw runtime::settings_error("--log-level has an unknown value");
     }
-    catch (const runtime::settings_error& fault)
+    catch (const runtime::settings_error& error)
     {
-        std::cerr << "mangofold-entry: " << fault.what() << "\nTry --help.\n";
+        std::cerr << "mangofold-entry: " << error.what() << "\nTry --help.\n";
         return runtime::exit_bad_settings;
     }
-    const runtime::system_clock time;
+    const runtime::system_clock clock;
     return runtime::run_until_signalled(
-        [&] { return std::make_unique<entry::entry>(values, time); });
+        [&] { return std::make_unique<entry::entry>(values, clock); });
 }
--- a/packages/entry/outcome.hpp
+++ b/packages/entry/outcome.hpp
@@ -10,20 +10,21 @@
 namespace mangofold::entry
 {
 
-/// How a whole request ended, as the caller is told.
+/// How a whole request ended, as reported to the client.
 enum class outcome_kind
 {
-    answered,        ///< The whole answer.
-    refused,         ///< Nothing of it ran, and nothing will.
-    failed,          ///< Some of it ran; no stage that may not be repeated.
-    unknown,         ///< A stage that may not be repeated may have run.
-    deadline_passed, ///< Time was up; no such stage may have run.
-    malformed        ///< Not a request that could ever run.
+    answered, ///< Completed.
+    refused,  ///< No stage ran, and none will.
+    failed,   ///< Some stages may have run, but none that must not be repeated.
+    unknown,  ///< A stage that must not be repeated may have run.
+    deadline_passed, ///< As failed, because the deadline passed.
+    malformed        ///< Invalid; can never run.
 };
 
+/// Returns the name of \a value in replies and metrics.
 std::string_view to_string(outcome_kind value);
 
-/// What one stage of a request cost.
+/// The resources that one stage of a request used.
 struct stage_cost
 {
     std::string stage;
@@ -33,13 +34,14 @@
     friend bool operator==(const stage_cost&, const stage_cost&) = default;
 };
 
+/// The result of a request.
 struct outcome
 {
     outcome_kind kind = outcome_kind::unknown;
     decision::reason why = decision::reason::none;
-    std::string stage;  ///< The stage at which it ended.
+    std::string stage;  ///< The stage that ended the request, if not answered.
     std::string answer; ///< JSON.
-    std::string text;   ///< For people, where the reason needs words.
+    std::string text;   ///< Explains the reason to a person; may be empty.
     decision::duration retry_after{};
     bool is_replayed = false;
     std::vector<stage_cost> costs;
--- a/packages/entry/pipeline_progress.hpp
+++ b/packages/entry/pipeline_progress.hpp
@@ -5,7 +5,7 @@
 namespace mangofold::entry
 {
 
-/// What one request has come to so far.
+/// The state of a request while it runs through its pipeline.
 struct pipeline_runner::progress
 {
     progress(const request& what, const manifest::document& manifest,
@@ -19,8 +19,8 @@
     const manifest::pipeline& pipeline;
     decision::instant deadline;
     std::shared_ptr<mailbox> replies = std::make_shared<mailbox>();
-    std::string previous; ///< Output of the last stage, JSON.
-    bool has_run = false; ///< Some stage may have run.
+    std::string previous; ///< Output of the previous stage, JSON.
+    bool has_run = false; ///< Whether a stage has completed.
     outcome result;
 };
 
--- a/packages/entry/pipeline_runner.cpp
+++ b/packages/entry/pipeline_runner.cpp
@@ -13,31 +13,31 @@
 using namespace decision;
 
 pipeline_runner::pipeline_runner(dispatcher& sidecars, router& routes,
-                                 const runtime::clock& time,
-                                 runtime::metrics& counters)
-    : m_sidecars(sidecars), m_router(routes), m_clock(time),
-      m_metrics(counters), m_contents(time, counters)
+                                 const runtime::clock& clock,
+                                 runtime::metrics& metrics)
+    : m_sidecars(sidecars), m_router(routes), m_clock(clock),
+      m_metrics(metrics), m_contents(clock, metrics)
 {
 }
 
 outcome pipeline_runner::run(const request& value,
-                             const configuration::snapshot_ptr& in_force)
+                             const configuration::snapshot_ptr& snapshot)
 {
     const manifest::pipeline& pipeline =
-        *in_force->document.find_pipeline(value.pipeline);
+        *snapshot->document.find_pipeline(value.pipeline);
     const duration allowed = value.deadline == duration::zero()
                                  ? pipeline.deadline
                                  : std::min(value.deadline, pipeline.deadline);
-    progress state(value, in_force->document, pipeline,
+    progress state(value, snapshot->document, pipeline,
                    m_clock.now() + allowed);
-    if (pipeline.is_repeatable() && is_hopeless(state, allowed))
+    if (pipeline.is_repeatable() && refuse_if_infeasible(state, allowed))
         return state.result;
     for (const manifest::stage& stage : pipeline.stages)
     {
         const stage_result result = run_stage(state, stage);
         if (result.status != stage_status::done)
         {
-            conclude(state, stage, result);
+            set_failure(state, stage, result);
             return state.result;
         }
         state.has_run = true;
@@ -49,68 +49,69 @@
     return state.result;
 }
 
-// A request that cannot end in time is refused before its first stage: run
-// in part, it would take the time of targets from requests that can, and its
-// caller would learn so only at its deadline.
-bool pipeline_runner::is_hopeless(progress& state, duration allowed)
+// A request that cannot complete in time is refused before its first stage. If
+// it ran in part, it would take capacity from requests that can complete, and
+// the client would learn of the failure only at the deadline.
+bool pipeline_runner::refuse_if_infeasible(progress& state, duration allowed)
 {
     const duration expected = m_router.expected(state.pipeline);
-    // What is expected is an average; close to the deadline, half of the
-    // requests would miss it after most of their work was done.
-    constexpr double hopeful_share = 0.75;
-    const auto hopeful =
-        std::chrono::duration_cast<duration>(allowed * hopeful_share);
-    if (expected <= hopeful)
+    // The expected latency is an average: with a limit close to the deadline,
+    // half of the requests would miss it after most of their work was done.
+    constexpr double max_deadline_share = 0.75;
+    const auto max_expected =
+        std::chrono::duration_cast<duration>(allowed * max_deadline_share);
+    if (expected <= max_expected)
         return false;
-    random_source random(m_seed++);
+    random_source random(m_next_seed++);
     state.result.kind = outcome_kind::refused;
     state.result.why = reason::too_late;
-    // Spread over the time that the work ahead takes, so that those who are
-    // sent away now do not all come back together.
+    // Spread the retries over the time that the queued work takes, so that
+    // the clients refused now do not all retry at once.
     state.result.retry_after =
-        (expected - hopeful) +
+        (expected - max_expected) +
         duration(random.below(static_cast<std::uint64_t>(expected.count())));
     return true;
 }
 
-// "Refused" is said only where no stage ran at all: a refusal at the third
-// stage is a failure to the caller. Where a stage may not be repeated, an
-// earlier sending may have run it; then only its owner can say "not run".
-void pipeline_runner::conclude(progress& state, const manifest::stage& stage,
-                               const stage_result& result)
+// A request is reported as refused only if no stage ran at all: a refusal at
+// the third stage is a failure to the client. A stage that must not be repeated
+// may have run in an earlier attempt, so only its owner can report that it did
+// not run.
+void pipeline_runner::set_failure(progress& state, const manifest::stage& stage,
+                                  const stage_result& result)
 {
-    outcome& ended = state.result;
-    ended.why = result.cause;
-    ended.stage = stage.id;
-    ended.retry_after = result.retry_after;
-    const bool is_over = result.cause == reason::deadline_passed;
-    const bool is_owners_word =
+    outcome& failure = state.result;
+    failure.why = result.cause;
+    failure.stage = stage.id;
+    failure.retry_after = result.retry_after;
+    const bool is_past_deadline = result.cause == reason::deadline_passed;
+    const bool is_reported_by_owner =
         !stage.is_repeatable && is_reported_by_sidecar(result.cause);
     const bool is_refused = result.status == stage_status::refused;
     if (is_refused && !state.has_run &&
-        (is_owners_word || state.pipeline.is_repeatable()))
-        ended.kind = outcome_kind::refused;
+        (is_reported_by_owner || state.pipeline.is_repeatable()))
+        failure.kind = outcome_kind::refused;
     else if (!state.pipeline.is_repeatable())
-        ended.kind = outcome_kind::unknown;
+        failure.kind = outcome_kind::unknown;
     else
-        ended.kind =
-            is_over ? outcome_kind::deadline_passed : outcome_kind::failed;
+        failure.kind = is_past_deadline ? outcome_kind::deadline_passed
+                                        : outcome_kind::failed;
 }
 
 stage_result pipeline_runner::run_stage(progress& state,
                                         const manifest::stage& stage)
 {
-    const instant begun = m_clock.now();
+    const instant started_at = m_clock.now();
     stage_cost cost{stage.id, {}, 0};
     const stage_result result = stage.is_repeatable
                                     ? run_repeatable(state, stage, cost)
                                     : run_owned(state, stage, cost);
     if (result.status == stage_status::done)
-        m_contents.note_served(content_of(state, stage));
+        m_contents.note_served(stage_content(state, stage));
     const std::string labels = runtime::label("pipeline", state.pipeline.id) +
                                "," + runtime::label("stage", stage.id);
     m_metrics.observe({"mangofold_stage_seconds", labels},
-                      m_clock.now() - begun);
+                      m_clock.now() - started_at);
     m_metrics.count({"mangofold_stage_service_microseconds_total", labels}) +=
         static_cast<std::uint64_t>(
             std::chrono::duration_cast<std::chrono::microseconds>(cost.service)
@@ -119,8 +120,8 @@
     return result;
 }
 
-digest pipeline_runner::content_of(const progress& state,
-                                   const manifest::stage& stage)
+digest pipeline_runner::stage_content(const progress& state,
+                                      const manifest::stage& stage)
 {
     return stage_content_digest({state.asked.account, state.asked.id, stage.id},
                                 content_digest(state.asked));
@@ -129,7 +130,7 @@
 std::optional<duration> pipeline_runner::keep_back(progress& state,
                                                    const manifest::stage& stage)
 {
-    return m_contents.keep_back(content_of(state, stage), state.deadline,
+    return m_contents.keep_back(stage_content(state, stage), state.deadline,
                                 *state.replies);
 }
 
@@ -137,17 +138,17 @@
                                              const manifest::stage& stage,
                                              stage_cost& cost)
 {
-    repeatable_run attempts(m_policy, state.deadline, m_seed++);
-    const std::string timed = state.pipeline.id + "/" + stage.id;
-    const duration usual = m_timing.usual(timed);
+    repeatable_run attempts(m_policy, state.deadline, m_next_seed++);
+    const std::string timing_key = state.pipeline.id + "/" + stage.id;
+    const duration typical_latency = m_timing.p99(timing_key);
     const work_class work = state.pipeline.priority;
     instant sent_at{};
-    std::optional<dispatched> out;
-    const auto withdraw = [&]
+    std::optional<dispatched> in_flight;
+    const auto cancel_in_flight = [&]
     {
-        if (out)
-            m_sidecars.withdraw(*out);
-        out.reset();
+        if (in_flight)
+            m_sidecars.withdraw(*in_flight);
+        in_flight.reset();
     };
     while (true)
     {
@@ -158,25 +159,25 @@
             {
                 return attempts.next_step(
                     now, budget,
-                    attempt_timeout(usual, state.deadline - sent_at));
+                    attempt_timeout(typical_latency, state.deadline - sent_at));
             });
-        if (const auto* ended = std::get_if<finish_stage>(&step))
+        if (const auto* finished = std::get_if<finish_stage>(&step))
         {
-            withdraw();
-            return ended->result;
+            cancel_in_flight();
+            return finished->result;
         }
         if (const auto* send = std::get_if<send_attempt>(&step))
         {
-            withdraw();
-            if (const auto back = keep_back(state, stage))
-                return attempts.quarantined_result(*back);
+            cancel_in_flight();
+            if (const auto retry_after = keep_back(state, stage))
+                return attempts.quarantined_result(*retry_after);
             const auto target =
                 m_router.pick(stage.pool, work, send->avoided_targets);
             if (target)
-                out = m_sidecars.submit(*target,
-                                        submission_for(state, stage, *send),
-                                        state.replies);
-            if (!out)
+                in_flight = m_sidecars.submit(
+                    *target, make_submission(state, stage, *send),
+                    state.replies);
+            if (!in_flight)
             {
                 attempts.not_sent(m_clock.now());
                 continue;
@@ -190,10 +191,10 @@
                                         std::get<wait_until>(step).until);
         if (!result)
             continue;
-        out.reset();
+        in_flight.reset();
         cost.service += result->service_time;
         if (result->status == stage_status::done)
-            m_timing.add(timed, m_clock.now() - sent_at);
+            m_timing.add(timing_key, m_clock.now() - sent_at);
     }
 }
 
@@ -203,35 +204,35 @@
 {
     const auto& tickets = state.asked.tickets;
     const auto ticket = std::find_if(tickets.begin(), tickets.end(),
-                                     [&](const stage_ticket& one)
-                                     { return one.stage == stage.id; });
+                                     [&](const stage_ticket& candidate)
+                                     { return candidate.stage == stage.id; });
     std::optional<std::string> ticket_target;
     if (ticket != tickets.end())
         ticket_target = ticket->value.target;
     owned_run attempts(m_policy, state.deadline, owners(state, stage),
                        ticket_target);
-    if (const auto back = keep_back(state, stage))
-        return refused(reason::quarantined, *back);
+    if (const auto retry_after = keep_back(state, stage))
+        return refused(reason::quarantined, *retry_after);
     while (true)
     {
         const instant now = m_clock.now();
         const attempt_step step = attempts.next_step(now);
-        if (const auto* ended = std::get_if<finish_stage>(&step))
-            return ended->result;
+        if (const auto* finished = std::get_if<finish_stage>(&step))
+            return finished->result;
         if (const auto* send = std::get_if<send_attempt>(&step))
         {
-            submission work = submission_for(state, stage, *send);
+            submission work = make_submission(state, stage, *send);
             if (send->uses_ticket)
                 work.presented_ticket = ticket->value;
-            const auto out =
+            const auto in_flight =
                 m_sidecars.submit(send->target, std::move(work), state.replies);
-            if (!out)
+            if (!in_flight)
             {
                 attempts.not_sent(m_clock.now());
                 continue;
             }
             ++cost.attempts;
-            attempts.sent(out->incarnation);
+            attempts.sent(in_flight->incarnation);
             continue;
         }
         const auto result = next_result(state, stage, attempts,
@@ -241,9 +242,9 @@
     }
 }
 
-// What arrives is bound to its request, stage and attempt. Anything else is
-// an answer that was given up or went astray; it must not become part of
-// this request's.
+// A result is accepted only if its request, stage and attempt match. Any other
+// result belongs to an abandoned attempt or was misdirected, and must not
+// become part of the answer to this request.
 template<typename Attempts>
 std::optional<stage_result>
 pipeline_runner::next_result(progress& state, const manifest::stage& stage,
@@ -253,30 +254,31 @@
     if (!arrived)
         return std::nullopt;
     const instant now = m_clock.now();
-    if (const auto* lost = std::get_if<link_broke>(&*arrived))
+    if (const auto* lost_link = std::get_if<link_broke>(&*arrived))
     {
-        attempts.link_lost(lost->attempt, now);
-        count_retry(stage, reason::link_lost);
+        attempts.link_lost(lost_link->attempt, now);
+        count_unanswered_attempt(stage, reason::link_lost);
         return std::nullopt;
     }
-    const auto* came = std::get_if<result_arrived>(&*arrived);
-    if (came == nullptr)
+    const auto* arrived_result = std::get_if<result_arrived>(&*arrived);
+    if (arrived_result == nullptr)
         return std::nullopt;
-    const bool is_own =
-        came->request_id == state.asked.id && came->stage == stage.id;
-    if (!is_own || !attempts.ended(came->attempt, came->result, now))
+    const bool is_own = arrived_result->request_id == state.asked.id &&
+                        arrived_result->stage == stage.id;
+    if (!is_own ||
+        !attempts.ended(arrived_result->attempt, arrived_result->result, now))
     {
         ++m_metrics.count({"mangofold_late_results_total", ""});
         return std::nullopt;
     }
-    if (came->result.status != stage_status::done)
-        count_retry(stage, came->result.cause);
-    return came->result;
+    if (arrived_result->result.status != stage_status::done)
+        count_unanswered_attempt(stage, arrived_result->result.cause);
+    return arrived_result->result;
 }
 
-submission pipeline_runner::submission_for(const progress& state,
-                                           const manifest::stage& stage,
-                                           const send_attempt& step)
+submission pipeline_runner::make_submission(const progress& state,
+                                            const manifest::stage& stage,
+                                            const send_attempt& step)
 {
     submission work;
     work.key = {state.asked.account, state.asked.id, stage.id};
@@ -299,7 +301,8 @@
     return work;
 }
 
-void pipeline_runner::count_retry(const manifest::stage& stage, reason why)
+void pipeline_runner::count_unanswered_attempt(const manifest::stage& stage,
+                                               reason why)
 {
     ++m_metrics.count({"mangofold_attempts_without_answer_total",
                        runtime::label("stage", stage.id) + "," +
--- a/packages/entry/pipeline_runner.hpp
+++ b/packages/entry/pipeline_runner.hpp
@@ -19,55 +19,65 @@
 namespace mangofold::entry
 {
 
-/// Runs one request through the stages of its pipeline, on the calling
-/// thread.
+/// Runs requests through the stages of their pipelines, each on the calling
+/// thread, and retries attempts that fail.
 class pipeline_runner
 {
 public:
     pipeline_runner(dispatcher& sidecars, router& routes,
-                    const runtime::clock& time, runtime::metrics& counters);
+                    const runtime::clock& clock, runtime::metrics& metrics);
 
-    /// Returns how \a value ended under the manifest \a in_force.
+    /// Returns the outcome of \a value, run under the manifest in \a snapshot.
     outcome run(const request& value,
-                const configuration::snapshot_ptr& in_force);
+                const configuration::snapshot_ptr& snapshot);
 
-    /// Returns the ticket text for a request through \a pipeline, or nothing
-    /// where an owner mints none now.
+    /// Returns the tickets for the stages of \a pipeline that must not be
+    /// repeated, as text for the client, or nothing if one of them is not
+    /// available now.
     std::optional<std::string>
     mint(const request& value, const manifest::pipeline& pipeline,
-         const configuration::snapshot_ptr& in_force);
+         const configuration::snapshot_ptr& snapshot);
 
-    /// What is known of requests that end targets.
+    /// Returns the quarantine of requests that crash targets.
     content_guard& contents() { return m_contents; }
 
 private:
     struct progress;
 
-    bool is_hopeless(progress& state, decision::duration allowed);
+    /// Sets the result to refused if the request cannot be expected to
+    /// complete within \a allowed. Returns whether it did.
+    bool refuse_if_infeasible(progress& state, decision::duration allowed);
     decision::stage_result run_stage(progress& state,
                                      const manifest::stage& stage);
+    /// Runs a stage on any target, and on another target after a failure.
     decision::stage_result run_repeatable(progress& state,
                                           const manifest::stage& stage,
                                           stage_cost& cost);
+    /// Runs a stage that must not be repeated on the target that owns it.
     decision::stage_result
     run_owned(progress& state, const manifest::stage& stage, stage_cost& cost);
+    /// Returns the next result of \a attempts, or nothing if another message
+    /// or none arrives before \a until.
     template<typename Attempts>
     std::optional<decision::stage_result>
     next_result(progress& state, const manifest::stage& stage,
                 Attempts& attempts, decision::instant until);
-    static decision::digest content_of(const progress& state,
-                                       const manifest::stage& stage);
+    static decision::digest stage_content(const progress& state,
+                                          const manifest::stage& stage);
     std::optional<decision::duration> keep_back(progress& state,
                                                 const manifest::stage& stage);
-    decision::submission submission_for(const progress& state,
-                                        const manifest::stage& stage,
-                                        const decision::send_attempt& step);
+    decision::submission make_submission(const progress& state,
+                                         const manifest::stage& stage,
+                                         const decision::send_attempt& step);
+    /// Returns the targets of the pool in the order in which they own the
+    /// stage.
     std::vector<std::string> owners(const progress& state,
                                     const manifest::stage& stage) const;
-    void count_retry(const manifest::stage& stage, decision::reason why);
+    void count_unanswered_attempt(const manifest::stage& stage,
+                                  decision::reason why);
 
-    static void conclude(progress& state, const manifest::stage& stage,
-                         const decision::stage_result& result);
+    static void set_failure(progress& state, const manifest::stage& stage,
+                            const decision::stage_result& result);
 
     dispatcher& m_sidecars;
     router& m_router;
@@ -76,7 +86,7 @@
     content_guard m_contents;
     stage_timing m_timing;
     decision::attempt_policy m_policy;
-    std::atomic<std::uint64_t> m_seed{1};
+    std::atomic<std::uint64_t> m_next_seed{1};
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/pipeline_tickets.cpp
+++ b/packages/entry/pipeline_tickets.cpp
@@ -11,19 +11,19 @@
                         const manifest::stage& stage) const
 {
     std::vector<std::string> targets;
-    for (const auto& one : state.document.find_pool(stage.pool)->targets)
-        targets.push_back(one.id);
+    for (const auto& target : state.document.find_pool(stage.pool)->targets)
+        targets.push_back(target.id);
     const request_key key{state.asked.account, state.asked.id, stage.id};
     return owner_order(digest_of(key), std::move(targets));
 }
 
 std::optional<std::string>
 pipeline_runner::mint(const request& value, const manifest::pipeline& pipeline,
-                      const configuration::snapshot_ptr& in_force)
+                      const configuration::snapshot_ptr& snapshot)
 {
-    constexpr duration longest_wait = std::chrono::seconds(1);
-    progress state(value, in_force->document, pipeline,
-                   m_clock.now() + longest_wait);
+    constexpr duration max_wait = std::chrono::seconds(1);
+    progress state(value, snapshot->document, pipeline,
+                   m_clock.now() + max_wait);
     std::vector<stage_ticket> tickets;
     for (const manifest::stage& stage : pipeline.stages)
     {
@@ -36,8 +36,9 @@
                 break;
             if (!m_sidecars.mint(owner, state.replies))
                 continue;
-            const instant patience = m_clock.now() + longest_wait / 4;
-            const auto arrived = state.replies->take(patience - m_clock.now());
+            const instant reply_deadline = m_clock.now() + max_wait / 4;
+            const auto arrived =
+                state.replies->take(reply_deadline - m_clock.now());
             if (arrived && std::holds_alternative<ticket_arrived>(*arrived))
                 minted = std::get<ticket_arrived>(*arrived).value;
         }
--- a/packages/entry/request.cpp
+++ b/packages/entry/request.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t longest_name = 200;
-constexpr std::uint64_t longest_deadline_ms = 600'000;
+constexpr std::size_t max_name_bytes = 200;
+constexpr std::uint64_t max_deadline_ms = 600'000;
 
 std::string name_member(const json& body, const char* name, bool is_required)
 {
@@ -23,15 +23,15 @@
         return {};
     }
     if (!found->is_string())
-        throw request_error(std::string("'") + name + "' must be a text");
+        throw request_error(std::string("'") + name + "' must be a string");
     const auto& text = found->get_ref<const std::string&>();
-    const bool has_control = std::any_of(text.begin(), text.end(),
-                                         [](unsigned char one)
-                                         { return one < 0x20 || one == 0x7f; });
-    if (text.empty() || text.size() > longest_name || has_control)
+    const bool has_control = std::any_of(
+        text.begin(), text.end(),
+        [](unsigned char byte) { return byte < 0x20 || byte == 0x7f; });
+    if (text.empty() || text.size() > max_name_bytes || has_control)
         throw request_error(std::string("'") + name +
-                            "' must have 1 to 200 bytes, none of them "
-                            "control characters");
+                            "' must have 1 to 200 bytes and no control "
+                            "characters");
     return text;
 }
 
@@ -40,29 +40,29 @@
     const auto found = body.find("deadline_ms");
     if (found == body.end())
         return {};
-    if (!found->is_number_unsigned() || *found == 0 ||
-        *found > longest_deadline_ms)
+    if (!found->is_number_unsigned() || *found == 0 || *found > max_deadline_ms)
         throw request_error(
             "'deadline_ms' must be a whole number from 1 to 600000");
     return std::chrono::milliseconds(found->get<std::uint64_t>());
 }
 
-// The text is one "stage target incarnation serial" after another, parted
-// by semicolons. It needs no signature: a wrong one is only refused.
+// The text is a list of "stage target incarnation serial", separated by
+// semicolons. It needs no signature: a forged ticket is only refused.
 std::vector<stage_ticket> parse_tickets(const std::string& text)
 {
     std::vector<stage_ticket> tickets;
-    std::istringstream all(text);
-    std::string one;
-    while (std::getline(all, one, ';'))
+    std::istringstream stream(text);
+    std::string part;
+    while (std::getline(stream, part, ';'))
     {
-        std::istringstream parts(one);
-        stage_ticket value;
-        parts >> value.stage >> value.value.target >> value.value.incarnation >>
-            value.value.serial;
-        if (parts.fail())
-            throw request_error("'ticket' was not made by this system");
-        tickets.push_back(std::move(value));
+        std::istringstream fields(part);
+        stage_ticket parsed;
+        fields >> parsed.stage >> parsed.value.target >>
+            parsed.value.incarnation >> parsed.value.serial;
+        if (fields.fail())
+            throw request_error(
+                "'ticket' is not a ticket issued by this system");
+        tickets.push_back(std::move(parsed));
     }
     return tickets;
 }
@@ -73,7 +73,7 @@
 {
     const json parsed = json::parse(body, nullptr, false);
     if (!parsed.is_object())
-        throw request_error("the body must be a JSON object");
+        throw request_error("the request body must be a JSON object");
     request value;
     value.pipeline = name_member(parsed, "pipeline", true);
     value.account = name_member(parsed, "account", true);
@@ -86,7 +86,7 @@
     if (ticket != parsed.end())
     {
         if (!ticket->is_string())
-            throw request_error("'ticket' must be a text");
+            throw request_error("'ticket' must be a string");
         value.tickets = parse_tickets(ticket->get<std::string>());
     }
     return value;
@@ -100,12 +100,12 @@
 std::string to_text(const std::vector<stage_ticket>& tickets)
 {
     std::string text;
-    for (const stage_ticket& one : tickets)
+    for (const stage_ticket& ticket : tickets)
     {
         text += text.empty() ? "" : ";";
-        text += one.stage + " " + one.value.target + " " +
-                std::to_string(one.value.incarnation) + " " +
-                std::to_string(one.value.serial);
+        text += ticket.stage + " " + ticket.value.target + " " +
+                std::to_string(ticket.value.incarnation) + " " +
+                std::to_string(ticket.value.serial);
     }
     return text;
 }
--- a/packages/entry/request.hpp
+++ b/packages/entry/request.hpp
@@ -12,7 +12,7 @@
 namespace mangofold::entry
 {
 
-/// A ticket for one stage of a request.
+/// A ticket for one stage of a request that must not be repeated.
 struct stage_ticket
 {
     std::string stage;
@@ -21,34 +21,34 @@
     friend auto operator<=>(const stage_ticket&, const stage_ticket&) = default;
 };
 
-/// A caller's request, parsed.
+/// A parsed request of a client.
 struct request
 {
     std::string pipeline;
     std::string account;
     std::string id;
-    decision::duration deadline{}; ///< Zero where the caller names none.
+    decision::duration deadline{}; ///< Zero if the client sets none.
     std::string input;             ///< JSON.
     std::vector<stage_ticket> tickets;
 
     friend bool operator==(const request&, const request&) = default;
 };
 
-/// A request that cannot be read, with the text for the caller.
+/// Reports a request that cannot be parsed. The text is meant for the client.
 class request_error : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Returns the request in \a body. Throws request_error.
+/// Returns the request in the JSON text \a body. Throws request_error.
 request parse_request(const std::string& body);
 
-/// Returns the digest that tells a resend from another request under the
+/// Returns the digest that tells a resend from a different request under the
 /// same id.
 decision::digest content_digest(const request& value);
 
-/// Returns \a tickets as the opaque text that callers hand back.
+/// Returns \a tickets as the opaque text that clients send with the request.
 std::string to_text(const std::vector<stage_ticket>& tickets);
 
 } // namespace mangofold::entry
--- a/packages/entry/router.cpp
+++ b/packages/entry/router.cpp
@@ -8,46 +8,48 @@
 namespace
 {
 
-// One retry for ten first attempts, and twenty saved up for a bad moment.
-constexpr double retry_share = 0.1;
+// One retry for ten first attempts, and a reserve of 20 for a burst of
+// failures.
+constexpr double retry_ratio = 0.1;
 constexpr double retry_reserve = 20;
 
 } // namespace
 
-router::router(std::string zone, const runtime::clock& time, std::uint64_t seed)
-    : m_zone(std::move(zone)), m_clock(time), m_seed(seed)
+router::router(std::string zone, const runtime::clock& clock,
+               std::uint64_t seed)
+    : m_zone(std::move(zone)), m_clock(clock), m_seed(seed)
 {
 }
 
-void router::configure(const configuration::snapshot_ptr& value)
+void router::configure(const configuration::snapshot_ptr& snapshot)
 {
     const std::lock_guard lock(m_mutex);
-    m_pool_of.clear();
-    for (const manifest::pool& pool : value->document.pools)
+    m_pool_by_target.clear();
+    for (const manifest::pool& pool : snapshot->document.pools)
     {
-        std::vector<decision::target_location> places;
-        for (const manifest::target& one : pool.targets)
+        std::vector<decision::target_location> locations;
+        for (const manifest::target& target : pool.targets)
         {
-            places.push_back({one.id, one.zone});
-            m_pool_of[one.id] = pool.id;
+            locations.push_back({target.id, target.zone});
+            m_pool_by_target[target.id] = pool.id;
         }
         auto [found, is_new] = m_pools.try_emplace(
             pool.id, m_zone, decision::two_choice_selection{},
             decision::ejection_policy{}, ++m_seed);
-        found->second.set_targets(places);
-        m_budgets.try_emplace(pool.id, retry_share, retry_reserve);
+        found->second.set_targets(locations);
+        m_budgets.try_emplace(pool.id, retry_ratio, retry_reserve);
     }
 }
 
-std::optional<std::string> router::pick(const std::string& pool,
-                                        decision::work_class work,
-                                        const std::vector<std::string>& avoid)
+std::optional<std::string>
+router::pick(const std::string& pool, decision::work_class work,
+             const std::vector<std::string>& avoided_targets)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_pools.find(pool);
     if (found == m_pools.end())
         return std::nullopt;
-    return found->second.pick(work, avoid, m_clock.now());
+    return found->second.pick(work, avoided_targets, m_clock.now());
 }
 
 decision::duration router::expected(const manifest::pipeline& pipeline)
@@ -64,40 +66,43 @@
 
 void router::link_opened(const std::string& target)
 {
-    change(target,
-           [&](pool_router& pool) { pool.link_opened(target, m_clock.now()); });
+    update_pool_of(target, [&](pool_router& pool)
+                   { pool.link_opened(target, m_clock.now()); });
 }
 
 void router::link_closed(const std::string& target)
 {
-    change(target, [&](pool_router& pool) { pool.link_closed(target); });
+    update_pool_of(target,
+                   [&](pool_router& pool) { pool.link_closed(target); });
 }
 
 void router::target_left(const std::string& target)
 {
-    change(target, [&](pool_router& pool) { pool.target_left(target); });
+    update_pool_of(target,
+                   [&](pool_router& pool) { pool.target_left(target); });
 }
 
 void router::load_reported(const std::string& target,
                            const decision::target_load& load)
 {
-    change(target,
-           [&](pool_router& pool) { pool.load_reported(target, load); });
+    update_pool_of(target, [&](pool_router& pool)
+                   { pool.load_reported(target, load); });
 }
 
 void router::attempt_sent(const std::string& target,
                           decision::work_class priority)
 {
-    change(target,
-           [&](pool_router& pool) { pool.attempt_sent(target, priority); });
+    update_pool_of(target, [&](pool_router& pool)
+                   { pool.attempt_sent(target, priority); });
 }
 
 void router::attempt_ended(const std::string& target,
                            decision::work_class priority,
                            const decision::stage_result& result)
 {
-    change(target, [&](pool_router& pool)
-           { pool.attempt_ended(target, priority, result, m_clock.now()); });
+    update_pool_of(
+        target, [&](pool_router& pool)
+        { pool.attempt_ended(target, priority, result, m_clock.now()); });
 }
 
 bool router::is_complete() const
@@ -108,12 +113,14 @@
     return std::all_of(m_pools.begin(), m_pools.end(),
                        [](const auto& pool)
                        {
-                           // All of an evacuated pool: nothing to wait for.
+                           // A pool that is evacuated as a whole has no
+                           // targets to wait for.
                            const auto& targets = pool.second.targets();
                            return targets.empty() ||
-                                  std::any_of(targets.begin(), targets.end(),
-                                              [](const auto& one)
-                                              { return one.second.is_linked; });
+                                  std::any_of(
+                                      targets.begin(), targets.end(),
+                                      [](const auto& target)
+                                      { return target.second.is_linked; });
                        });
 }
 
--- a/packages/entry/router.hpp
+++ b/packages/entry/router.hpp
@@ -13,21 +13,24 @@
 namespace mangofold::entry
 {
 
-/// The routers of all pools, behind one lock.
+/// Selects a target for each attempt: holds a decision::pool_router and a retry
+/// budget for each pool, all guarded by one mutex.
 class router
 {
 public:
     using pool_router = decision::pool_router<decision::two_choice_selection>;
 
-    router(std::string zone, const runtime::clock& time, std::uint64_t seed);
+    router(std::string zone, const runtime::clock& clock, std::uint64_t seed);
 
-    /// Takes the pools and targets of a manifest over.
-    void configure(const configuration::snapshot_ptr& value);
+    /// Updates pools and targets to the manifest in \a snapshot.
+    void configure(const configuration::snapshot_ptr& snapshot);
 
-    std::optional<std::string> pick(const std::string& pool,
-                                    decision::work_class work,
-                                    const std::vector<std::string>& avoid);
-    /// Returns the expected time of a request through all stages of
+    /// Returns a target of \a pool for \a work, or nothing if none is
+    /// available.
+    std::optional<std::string>
+    pick(const std::string& pool, decision::work_class work,
+         const std::vector<std::string>& avoided_targets);
+    /// Returns the expected latency of a request through all stages of
     /// \a pipeline.
     decision::duration expected(const manifest::pipeline& pipeline);
 
@@ -48,17 +51,17 @@
         return use(m_budgets.at(pool));
     }
 
-    /// Returns whether every pool with targets has one that work can go to.
+    /// Whether every pool that has targets has a linked one.
     bool is_complete() const;
 
 private:
-    template<typename Change>
-    void change(const std::string& target, Change apply)
+    template<typename Update>
+    void update_pool_of(const std::string& target, Update update)
     {
         const std::lock_guard lock(m_mutex);
-        const auto pool = m_pool_of.find(target);
-        if (pool != m_pool_of.end())
-            apply(m_pools.at(pool->second));
+        const auto pool = m_pool_by_target.find(target);
+        if (pool != m_pool_by_target.end())
+            update(m_pools.at(pool->second));
     }
 
     std::string m_zone;
@@ -67,7 +70,7 @@
     mutable std::mutex m_mutex;
     std::map<std::string, pool_router> m_pools;
     std::map<std::string, decision::retry_budget> m_budgets;
-    std::map<std::string, std::string> m_pool_of;
+    std::map<std::string, std::string> m_pool_by_target;
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/sidecar_link.cpp
+++ b/packages/entry/sidecar_link.cpp
@@ -12,18 +12,19 @@
 namespace
 {
 
-constexpr decision::duration least_wait = std::chrono::milliseconds(20);
-constexpr decision::duration longest_wait = std::chrono::seconds(1);
-// A sidecar speaks with every grant, at least once a second; one that says
-// nothing for longer is paused, dead or cut off.
-constexpr decision::duration longest_silence = std::chrono::milliseconds(2200);
+constexpr decision::duration min_reopen_delay = std::chrono::milliseconds(20);
+constexpr decision::duration max_reopen_delay = std::chrono::seconds(1);
+// A sidecar sends a grant at least once a second. A sidecar that sends nothing
+// for longer is paused, dead or disconnected.
+constexpr decision::duration silence_timeout = std::chrono::milliseconds(2200);
 
 } // namespace
 
 sidecar_link::sidecar_link(const link_context& context, std::string target,
                            std::string address)
     : m_context(context), m_target(std::move(target)),
-      m_address(std::move(address)), m_wait(least_wait, longest_wait),
+      m_address(std::move(address)),
+      m_backoff(min_reopen_delay, max_reopen_delay),
       m_random(decision::digest_of(context.entry_id, m_target).low)
 {
 }
@@ -33,30 +34,30 @@
     stream_ptr silent;
     {
         const std::lock_guard lock(m_mutex);
-        const decision::instant now = m_context.time.now();
-        if (m_is_closed_for_good)
+        const decision::instant now = m_context.clock.now();
+        if (m_is_closed)
             return;
-        if (!m_stream && now >= m_open_at)
+        if (!m_stream && now >= m_next_open_at)
             return open_stream();
-        if (m_stream && now > m_heard_at + longest_silence)
+        if (m_stream && now > m_last_received_at + silence_timeout)
             silent = m_stream;
     }
     if (!silent)
         return;
-    ++m_context.counters.count({"mangofold_links_silent_total", ""});
+    ++m_context.metrics.count({"mangofold_links_silent_total", ""});
     silent->end();
 }
 
 void sidecar_link::open_stream()
 {
     const std::uint64_t epoch = ++m_epoch;
-    m_heard_at = m_context.time.now();
+    m_last_received_at = m_context.clock.now();
     const std::weak_ptr<sidecar_link> self = weak_from_this();
     m_stream = std::make_shared<sidecar_stream>(
         [self, epoch](const wire::SidecarMessage& message)
         {
             if (const auto link = self.lock())
-                link->received(epoch, message);
+                link->handle_message(epoch, message);
         },
         [self, epoch]
         {
@@ -76,7 +77,7 @@
     stream_ptr open;
     {
         const std::lock_guard lock(m_mutex);
-        m_is_closed_for_good = true;
+        m_is_closed = true;
         open = m_stream;
     }
     if (open)
@@ -85,7 +86,7 @@
 
 void sidecar_link::stream_closed(std::uint64_t epoch)
 {
-    std::map<std::uint64_t, pending> lost;
+    std::map<std::uint64_t, pending_request> lost;
     {
         const std::lock_guard lock(m_mutex);
         if (epoch != m_epoch)
@@ -93,21 +94,21 @@
         m_stream.reset();
         m_is_up = false;
         m_grant = {};
-        m_open_at = m_context.time.now() + m_wait.next(m_random);
+        m_next_open_at = m_context.clock.now() + m_backoff.next(m_random);
         lost.swap(m_pending);
     }
     m_context.routes.link_closed(m_target);
     const decision::stage_result result =
         decision::unknown_outcome(decision::reason::link_lost);
-    for (auto& [number, one] : lost)
+    for (auto& [number, request] : lost)
     {
-        if (one.attempt == 0)
+        if (request.attempt == 0)
         {
-            one.replies->put(ticket_arrived{});
+            request.replies->put(ticket_arrived{});
             continue;
         }
-        m_context.routes.attempt_ended(m_target, one.priority, result);
-        one.replies->put(link_broke{m_target, one.attempt});
+        m_context.routes.attempt_ended(m_target, request.priority, result);
+        request.replies->put(link_broke{m_target, request.attempt});
     }
 }
 
@@ -118,7 +119,7 @@
     const std::lock_guard lock(m_mutex);
     if (!m_is_up || m_grant.serial == 0)
         return std::nullopt;
-    // A retry pinned to one process must not reach another one.
+    // A retry that is pinned to one incarnation must not run on another one.
     if (work.pinned_incarnation == 0)
         work.pinned_incarnation = work.is_repeatable ? 0 : m_grant.incarnation;
     work.grant = m_grant;
@@ -129,14 +130,15 @@
     message.mutable_submit()->set_number(number);
     if (!m_stream->send(std::move(message)))
         return std::nullopt;
-    m_pending.emplace(number, pending{replies, work.attempt, work.priority});
+    m_pending.emplace(number,
+                      pending_request{replies, work.attempt, work.priority});
     m_context.routes.attempt_sent(m_target, work.priority);
     return dispatched{m_target, number, m_grant.incarnation};
 }
 
 void sidecar_link::withdraw(std::uint64_t number)
 {
-    const std::optional<pending> withdrawn = take_pending(number);
+    const std::optional<pending_request> withdrawn = take_pending(number);
     if (!withdrawn)
         return;
     m_context.routes.attempt_ended(
@@ -155,7 +157,7 @@
         if (!m_is_up)
             return false;
         number = m_next_number++;
-        m_pending.emplace(number, pending{replies, 0, {}});
+        m_pending.emplace(number, pending_request{replies, 0, {}});
     }
     wire::EntryMessage message;
     message.mutable_mint()->set_number(number);
@@ -183,24 +185,24 @@
     return m_entry_count > 0 ? m_entry_count : 1;
 }
 
-void sidecar_link::received(std::uint64_t epoch,
-                            const wire::SidecarMessage& message)
+void sidecar_link::handle_message(std::uint64_t epoch,
+                                  const wire::SidecarMessage& message)
 {
     {
         const std::lock_guard lock(m_mutex);
         if (epoch != m_epoch)
             return;
-        m_heard_at = m_context.time.now();
+        m_last_received_at = m_context.clock.now();
     }
-    hear_generation(message.generation());
+    request_newer_manifest(message.generation());
     switch (message.kind_case())
     {
     case wire::SidecarMessage::kGrant:
-        return take_grant(message.grant());
+        return handle_grant(message.grant());
     case wire::SidecarMessage::kResult:
-        return take_result(message.result());
+        return handle_result(message.result());
     case wire::SidecarMessage::kMinted:
-        return take_ticket(message);
+        return handle_ticket(message);
     case wire::SidecarMessage::kConfigWanted:
     {
         const configuration::snapshot_ptr current = m_context.store.current();
@@ -218,7 +220,7 @@
     case wire::SidecarMessage::kTargetLost:
         if (m_context.note_target_end)
             m_context.note_target_end(wire::from_wire(
-                message.target_lost(), m_target, m_context.time.now()));
+                message.target_lost(), m_target, m_context.clock.now()));
         return;
     case wire::SidecarMessage::kProgress:
     case wire::SidecarMessage::KIND_NOT_SET:
@@ -226,11 +228,11 @@
     }
 }
 
-void sidecar_link::take_grant(const wire::Grant& grant)
+void sidecar_link::handle_grant(const wire::Grant& grant)
 {
     if (grant.target_id() != m_target)
     {
-        ++m_context.counters.count({"mangofold_links_misplaced_total", ""});
+        ++m_context.metrics.count({"mangofold_links_misplaced_total", ""});
         return;
     }
     bool is_new = false;
@@ -238,7 +240,7 @@
         const std::lock_guard lock(m_mutex);
         is_new = !m_is_up;
         m_is_up = true;
-        m_wait.reset();
+        m_backoff.reset();
         m_grant = {grant.incarnation(), grant.serial()};
         m_entry_count = grant.entry_count();
     }
@@ -249,38 +251,40 @@
         m_context.routes.link_opened(m_target);
 }
 
-void sidecar_link::take_result(const wire::Result& message)
+void sidecar_link::handle_result(const wire::Result& message)
 {
-    const std::optional<pending> waiting = take_pending(message.number());
-    if (!waiting)
+    const std::optional<pending_request> request =
+        take_pending(message.number());
+    if (!request)
     {
-        // Its attempt was given up, or was answered before.
-        ++m_context.counters.count({"mangofold_late_results_total", ""});
+        // The attempt was abandoned or has already been answered.
+        ++m_context.metrics.count({"mangofold_late_results_total", ""});
         return;
     }
     const decision::stage_result result = wire::from_wire(message);
-    m_context.routes.attempt_ended(m_target, waiting->priority, result);
+    m_context.routes.attempt_ended(m_target, request->priority, result);
     m_context.routes.load_reported(m_target, wire::from_wire(message.load()));
-    waiting->replies->put(result_arrived{m_target, message.request_id(),
+    request->replies->put(result_arrived{m_target, message.request_id(),
                                          message.stage(), message.attempt(),
                                          result});
 }
 
-void sidecar_link::take_ticket(const wire::SidecarMessage& message)
+void sidecar_link::handle_ticket(const wire::SidecarMessage& message)
 {
     const wire::Minted& minted = message.minted();
-    const std::optional<pending> waiting = take_pending(minted.number());
-    if (!waiting)
+    const std::optional<pending_request> request =
+        take_pending(minted.number());
+    if (!request)
         return;
     ticket_arrived arrived;
     if (!minted.refused())
         arrived.value = decision::ticket{minted.ticket().target_id(),
                                          minted.ticket().incarnation(),
                                          minted.ticket().serial()};
-    waiting->replies->put(arrived);
+    request->replies->put(arrived);
 }
 
-void sidecar_link::hear_generation(std::uint64_t generation)
+void sidecar_link::request_newer_manifest(std::uint64_t generation)
 {
     if (generation <= m_context.store.generation())
         return;
@@ -289,14 +293,14 @@
     send(std::move(message));
 }
 
-std::optional<sidecar_link::pending>
+std::optional<sidecar_link::pending_request>
 sidecar_link::take_pending(std::uint64_t number)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_pending.find(number);
     if (found == m_pending.end())
         return std::nullopt;
-    pending taken = std::move(found->second);
+    pending_request taken = std::move(found->second);
     m_pending.erase(found);
     return taken;
 }
--- a/packages/entry/sidecar_link.hpp
+++ b/packages/entry/sidecar_link.hpp
@@ -29,30 +29,33 @@
 
 class sidecar_stream;
 
-/// What all links of an entry share.
+/// The data that all links of an entry share. Must outlive the links.
 struct link_context
 {
     std::string entry_id;
     std::string zone;
-    const runtime::clock& time;
-    runtime::metrics& counters;
+    const runtime::clock& clock;
+    runtime::metrics& metrics;
     configuration::config_store& store;
     router& routes;
-    /// Takes what sidecars say of ends of their targets.
+    /// Called with each target crash that a sidecar reports.
     std::function<void(const decision::target_crash&)> note_target_end = {};
 };
 
-/// The link to one sidecar: opened again whenever it broke or fell silent.
+/// The link to one sidecar, which carries submissions, results, load reports
+/// and manifests. Reopens the gRPC stream whenever it breaks or falls silent.
+/// All functions may be called from any thread.
 class sidecar_link : public std::enable_shared_from_this<sidecar_link>
 {
 public:
     sidecar_link(const link_context& context, std::string target,
                  std::string address);
 
-    /// Opens the stream where it is down, ends it where it is silent.
+    /// Opens the stream if it is down, and closes it if it is silent. Must be
+    /// called periodically.
     void maintain();
 
-    /// Ends the stream for good.
+    /// Closes the stream for good.
     void close();
 
     std::optional<dispatched> submit(decision::submission work,
@@ -60,22 +63,23 @@
     void withdraw(std::uint64_t number);
     bool mint(const std::shared_ptr<mailbox>& replies);
 
-    /// Tells the sidecar the generation in force here.
+    /// Sends the current manifest generation of this entry to the sidecar.
     void announce_generation();
 
-    /// Tells the sidecar that the platform calls its target leaving.
+    /// Tells the sidecar that the platform reports its target as leaving.
     void announce_leaving();
 
     const std::string& address() const { return m_address; }
 
-    /// Returns how many entries the sidecar sees, at least one.
+    /// Returns the number of entries connected to the sidecar, at least one.
     std::uint32_t entry_count() const;
 
 private:
-    struct pending
+    /// A submission or ticket request that awaits its reply.
+    struct pending_request
     {
         std::shared_ptr<mailbox> replies;
-        std::uint32_t attempt = 0; ///< 0 for the wish for a ticket.
+        std::uint32_t attempt = 0; ///< 0 for a ticket request.
         decision::work_class priority = decision::work_class::urgent;
     };
 
@@ -83,12 +87,14 @@
 
     void open_stream();
     void stream_closed(std::uint64_t epoch);
-    void received(std::uint64_t epoch, const wire::SidecarMessage& message);
-    void take_grant(const wire::Grant& grant);
-    void take_result(const wire::Result& message);
-    void take_ticket(const wire::SidecarMessage& message);
-    void hear_generation(std::uint64_t generation);
-    std::optional<pending> take_pending(std::uint64_t number);
+    void handle_message(std::uint64_t epoch,
+                        const wire::SidecarMessage& message);
+    void handle_grant(const wire::Grant& grant);
+    void handle_result(const wire::Result& message);
+    void handle_ticket(const wire::SidecarMessage& message);
+    /// Asks the sidecar for its manifest if \a generation is newer than ours.
+    void request_newer_manifest(std::uint64_t generation);
+    std::optional<pending_request> take_pending(std::uint64_t number);
     bool send(wire::EntryMessage message);
 
     const link_context& m_context;
@@ -96,17 +102,17 @@
     std::string m_address;
     mutable std::mutex m_mutex;
     stream_ptr m_stream;
-    std::uint64_t m_epoch = 0; ///< Numbers the streams one after another.
-    bool m_is_closed_for_good = false;
+    std::uint64_t m_epoch = 0; ///< Number of the current stream.
+    bool m_is_closed = false;
     bool m_is_up = false;
-    decision::instant m_heard_at{};
-    decision::instant m_open_at{};
-    decision::backoff m_wait;
+    decision::instant m_last_received_at{};
+    decision::instant m_next_open_at{};
+    decision::backoff m_backoff;
     decision::random_source m_random;
     decision::grant_ref m_grant;
     std::uint32_t m_entry_count = 1;
     std::uint64_t m_next_number = 1;
-    std::map<std::uint64_t, pending> m_pending;
+    std::map<std::uint64_t, pending_request> m_pending;
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/sidecar_stream.cpp
+++ b/packages/entry/sidecar_stream.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-constexpr int reconnect_least_ms = 50;
-constexpr int reconnect_most_ms = 1000;
+constexpr int min_reconnect_ms = 50;
+constexpr int max_reconnect_ms = 1000;
 
 } // namespace
 
@@ -19,12 +19,12 @@
 {
     wire::keep_callback_threads();
     grpc::ChannelArguments arguments;
-    // A pool of channels shared over the process would tie a new stream to
-    // the connection that the last one found dead.
+    // With the process-wide subchannel pool, a new stream would share the
+    // connection that the previous stream found dead.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, reconnect_least_ms);
-    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, reconnect_most_ms);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, reconnect_most_ms);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, min_reconnect_ms);
+    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, max_reconnect_ms);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, max_reconnect_ms);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     m_stub = wire::Link::NewStub(grpc::CreateCustomChannel(
         "ipv4:" + address, grpc::InsecureChannelCredentials(), arguments));
--- a/packages/entry/sidecar_stream.hpp
+++ b/packages/entry/sidecar_stream.hpp
@@ -11,7 +11,7 @@
 namespace mangofold::entry
 {
 
-/// The entry's end of the stream to one sidecar.
+/// The client side of the bidirectional gRPC stream from an entry to a sidecar.
 class sidecar_stream
     : public wire::batch_stream<
           grpc::ClientBidiReactor<wire::EntryBatch, wire::SidecarBatch>,
@@ -30,7 +30,7 @@
     /// Opens the stream to the sidecar at \a address.
     void open(const std::string& address);
 
-    /// Ends the stream from this side.
+    /// Cancels the stream from the side of the entry.
     void end();
 
     void OnDone(const grpc::Status&) override { m_self.reset(); }
@@ -48,7 +48,8 @@
     closer m_on_closed;
     std::unique_ptr<wire::Link::Stub> m_stub;
     grpc::ClientContext m_context;
-    std::shared_ptr<sidecar_stream> m_self; ///< Until the stream is done.
+    std::shared_ptr<sidecar_stream>
+        m_self; ///< Keeps the stream alive until OnDone().
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/stage_timing.hpp
+++ b/packages/entry/stage_timing.hpp
@@ -9,25 +9,27 @@
 namespace mangofold::entry
 {
 
-/// How long the attempts at each stage usually take.
+/// Measures the latency of the attempts at each stage. All functions may be
+/// called from any thread.
 class stage_timing
 {
 public:
-    /// Notes an attempt at \a stage that was answered.
+    /// Adds the latency \a value of a completed attempt at \a stage.
     void add(const std::string& stage, decision::duration value)
     {
         const std::lock_guard lock(m_mutex);
         m_stages[stage].add(value);
     }
 
-    /// Returns the 99th percentile for \a stage, or zero where not known.
-    decision::duration usual(const std::string& stage) const
+    /// Returns the 99th percentile of the latency of \a stage, or zero if no
+    /// attempt has completed.
+    decision::duration p99(const std::string& stage) const
     {
-        constexpr double nearly_all = 0.99;
+        constexpr double probability = 0.99;
         const std::lock_guard lock(m_mutex);
         const auto found = m_stages.find(stage);
         return found == m_stages.end() ? decision::duration::zero()
-                                       : found->second.quantile(nearly_all);
+                                       : found->second.quantile(probability);
     }
 
 private:
--- a/tests/entry/caller_api_test.cpp
+++ b/tests/entry/caller_api_test.cpp
@@ -4,9 +4,9 @@
 
 using namespace mangofold::entry;
 
-TEST_SUITE("caller's request")
+TEST_SUITE("client request")
 {
-    TEST_CASE("is read whole")
+    TEST_CASE("all members are parsed")
     {
         const request value = parse_request(
             R"({"pipeline":"chat","account":"desk","request_id":"r1",
@@ -20,7 +20,7 @@
         CHECK(to_text(value.tickets) == "redeem booking-1 11 7");
     }
 
-    TEST_CASE("bad ones get an error that names the member")
+    TEST_CASE("invalid requests throw request_error")
     {
         for (const char* body :
              {"", "[]", "{", R"({"account":"desk"})", R"({"pipeline":1})",
@@ -33,14 +33,14 @@
             CHECK_THROWS_AS(parse_request(body), request_error);
     }
 
-    TEST_CASE("its digest tells a resend from another request")
+    TEST_CASE("the digest tells a resend from a different request")
     {
-        request one;
-        one.pipeline = "redeem";
-        one.input = "{\"code\":1}";
-        request other = one;
-        CHECK(content_digest(one) == content_digest(other));
+        request first;
+        first.pipeline = "redeem";
+        first.input = "{\"code\":1}";
+        request other = first;
+        CHECK(content_digest(first) == content_digest(other));
         other.input = "{\"code\":2}";
-        CHECK(content_digest(one) != content_digest(other));
+        CHECK(content_digest(first) != content_digest(other));
     }
 }
--- a/tests/entry/content_guard_test.cpp
+++ b/tests/entry/content_guard_test.cpp
@@ -13,57 +13,58 @@
 
 struct fixture
 {
-    runtime::paused_clock time;
-    runtime::metrics counters;
-    entry::content_guard guard{time, counters};
+    runtime::paused_clock clock;
+    runtime::metrics metrics;
+    entry::content_guard guard{clock, metrics};
     entry::mailbox replies;
 
-    fixture() { time.advance(1h); }
+    fixture() { clock.advance(1h); }
 
-    decision::target_crash end_of(const std::string& target) const
+    decision::target_crash crash_of(const std::string& target) const
     {
-        return {content, {target, 1}, time.now() - 100ms, time.now()};
+        return {content, {target, 1}, clock.now() - 100ms, clock.now()};
     }
 
-    bool is_kept_back()
+    bool is_quarantined()
     {
-        return guard.keep_back(content, time.now() + 1s, replies).has_value();
+        return guard.keep_back(content, clock.now() + 1s, replies).has_value();
     }
 };
 
 } // namespace
 
-TEST_CASE("three ends keep a request back, and a run that goes well lets it go")
+TEST_CASE("three crashes quarantine a request, and a completed run releases it")
 {
     fixture f;
     for (const char* target : {"t1", "t2", "t3"})
     {
-        CHECK_FALSE(f.is_kept_back());
-        f.time.advance(1s);
-        f.guard.note_end(f.end_of(target));
+        CHECK_FALSE(f.is_quarantined());
+        f.clock.advance(1s);
+        f.guard.note_end(f.crash_of(target));
     }
-    CHECK(f.is_kept_back());
+    CHECK(f.is_quarantined());
     f.guard.note_served(content);
-    CHECK_FALSE(f.is_kept_back());
+    CHECK_FALSE(f.is_quarantined());
 }
 
-// Callers of a harmless request are refused a minute after three targets ended.
-// 1. It was in progress there, but had just been served, and was not blamed.
-// 2. The links to their sidecars break and open again; the sidecars tell what
-// they remember. 3. By then nobody knows that it was served in time.
-TEST_CASE("an end that is told again is judged as it was at first")
+// Guards against refusing a harmless request some time after three targets that
+// ran it crashed. The crashes are not held against the request, since it had
+// just been served. When the links to the sidecars open again, the sidecars
+// report the same crashes again, and the record that the request was served has
+// expired by then.
+TEST_CASE("a crash that is reported again is judged as at first")
 {
     fixture f;
-    std::vector<decision::target_crash> ends;
+    std::vector<decision::target_crash> crashes;
     f.guard.note_served(content);
     for (const char* target : {"t1", "t2", "t3"})
     {
-        f.time.advance(1s);
-        ends.push_back(f.end_of(target));
-        f.guard.note_end(ends.back());
+        f.clock.advance(1s);
+        crashes.push_back(f.crash_of(target));
+        f.guard.note_end(crashes.back());
     }
-    f.time.advance(20s);
-    for (const decision::target_crash& one : ends)
-        f.guard.note_end(one);
-    CHECK_FALSE(f.is_kept_back());
+    f.clock.advance(20s);
+    for (const decision::target_crash& crash : crashes)
+        f.guard.note_end(crash);
+    CHECK_FALSE(f.is_quarantined());
 }
--- a/tests/entry/pipeline_runner_test.cpp
+++ b/tests/entry/pipeline_runner_test.cpp
@@ -43,29 +43,30 @@
 
 struct fixture
 {
-    runtime::paused_clock time;
-    runtime::metrics counters;
-    configuration::snapshot_ptr in_force =
+    runtime::paused_clock clock;
+    runtime::metrics metrics;
+    configuration::snapshot_ptr snapshot =
         std::make_shared<configuration::snapshot>(configuration::snapshot{
             manifest::parse(manifest_text), manifest_text});
-    entry::router routes{"z1", time, 1};
+    entry::router routes{"z1", clock, 1};
     mock_dispatcher sidecars;
-    entry::pipeline_runner runner{sidecars, routes, time, counters};
+    entry::pipeline_runner runner{sidecars, routes, clock, metrics};
 
     fixture()
     {
-        routes.configure(in_force);
+        routes.configure(snapshot);
         routes.link_opened("t1");
         routes.link_opened("t2");
     }
 
-    entry::request asked(const std::string& pipeline) const
+    entry::request request_for(const std::string& pipeline) const
     {
         return {pipeline, "desk", "r1", 0s, "{\"q\":1}", {}};
     }
 };
 
-/// Answers \a work at once, as the sidecar of \a target would.
+/// Puts \a result into \a replies, as the sidecar of \a target does for \a
+/// work.
 std::optional<entry::dispatched>
 reply(const std::string& target, const decision::submission& work,
       const std::shared_ptr<entry::mailbox>& replies,
@@ -85,7 +86,7 @@
 
 TEST_SUITE("pipeline runner")
 {
-    TEST_CASE("each stage gets the output of the one before")
+    TEST_CASE("each stage receives the output of the previous stage")
     {
         fixture f;
         std::string seen;
@@ -93,20 +94,19 @@
             .TIMES(2)
             .LR_SIDE_EFFECT(seen = _2.body)
             .LR_RETURN(reply(_1, _2, _3, done("\"" + _2.key.stage + "\"")));
-        const auto ended = f.runner.run(f.asked("two"), f.in_force);
-        CHECK(ended.kind == entry::outcome_kind::answered);
-        CHECK(ended.answer == "\"generate\"");
+        const auto result = f.runner.run(f.request_for("two"), f.snapshot);
+        CHECK(result.kind == entry::outcome_kind::answered);
+        CHECK(result.answer == "\"generate\"");
         CHECK(seen == R"({"request":{"q":1},"previous":"encode"})");
-        CHECK(ended.costs.size() == 2);
+        CHECK(result.costs.size() == 2);
     }
 
-    TEST_CASE("an answer to another request is dropped")
+    TEST_CASE("a result of another request is dropped")
     {
-        // A result with the wrong name arrives in the place of the right
-        // one. It must not become part of this answer; the right one, which
-        // comes later, does.
+        // A result with the id of another request arrives before the right
+        // result. Only the right result may become part of the answer.
         fixture f;
-        const auto misdirect =
+        const auto misdirected_then_own =
             [](const std::string& target, decision::submission work,
                const std::shared_ptr<entry::mailbox>& replies)
         {
@@ -117,11 +117,12 @@
         };
         REQUIRE_CALL(f.sidecars, submit(_, _, _))
             .TIMES(2)
-            .LR_RETURN(misdirect(_1, _2, _3));
-        CHECK(f.runner.run(f.asked("two"), f.in_force).answer == "\"own\"");
+            .LR_RETURN(misdirected_then_own(_1, _2, _3));
+        CHECK(f.runner.run(f.request_for("two"), f.snapshot).answer ==
+              "\"own\"");
     }
 
-    TEST_CASE("a refusal at a later stage is not called refused")
+    TEST_CASE("a refusal at a later stage is reported as failed")
     {
         fixture f;
         const auto second_refused = [](const decision::submission& work)
@@ -133,40 +134,42 @@
         REQUIRE_CALL(f.sidecars, submit(_, _, _))
             .TIMES(3)
             .LR_RETURN(reply(_1, _2, _3, second_refused(_2)));
-        const auto ended = f.runner.run(f.asked("two"), f.in_force);
-        CHECK(ended.kind == entry::outcome_kind::failed);
+        const auto result = f.runner.run(f.request_for("two"), f.snapshot);
+        CHECK(result.kind == entry::outcome_kind::failed);
     }
 
-    TEST_CASE("a redemption that may have run is unknown, not refused")
+    TEST_CASE(
+        "a non-repeatable stage that may have run is unknown, not refused")
     {
         fixture f;
         REQUIRE_CALL(f.sidecars, submit(_, _, _))
             .LR_RETURN(reply(
                 _1, _2, _3,
                 decision::unknown_outcome(decision::reason::target_timeout)));
-        CHECK(f.runner.run(f.asked("redeem"), f.in_force).kind ==
+        CHECK(f.runner.run(f.request_for("redeem"), f.snapshot).kind ==
               entry::outcome_kind::unknown);
     }
 
-    TEST_CASE("only the owner's word makes a redemption not run")
+    TEST_CASE("only the owner can report a non-repeatable stage as not run")
     {
-        // The redemption ran through another entry; its caller sends it again
-        // here, and this entry cannot reach the owner. "Not run" would make
-        // the caller redeem under a new id. The owner's own refusal may.
+        // The redemption ran through another entry, and the client resends it
+        // to this entry, which cannot reach the owner. If this entry reported
+        // "not run", the client would redeem again under a new id. Only the
+        // owner's refusal may report that.
         fixture f;
         ALLOW_CALL(f.sidecars, submit(_, _, _))
-            .LR_SIDE_EFFECT(f.time.advance(2s))
+            .LR_SIDE_EFFECT(f.clock.advance(2s))
             .RETURN(std::nullopt);
-        CHECK(f.runner.run(f.asked("redeem"), f.in_force).kind ==
+        CHECK(f.runner.run(f.request_for("redeem"), f.snapshot).kind ==
               entry::outcome_kind::unknown);
         REQUIRE_CALL(f.sidecars, submit(_, _, _))
             .LR_RETURN(reply(_1, _2, _3,
                              decision::refused(decision::reason::queue_full)));
-        CHECK(f.runner.run(f.asked("redeem"), f.in_force).kind ==
+        CHECK(f.runner.run(f.request_for("redeem"), f.snapshot).kind ==
               entry::outcome_kind::refused);
     }
 
-    TEST_CASE("a redemption goes to the same owner through every entry")
+    TEST_CASE("a non-repeatable stage is always sent to the same owner")
     {
         fixture f;
         std::vector<std::string> targets;
@@ -174,8 +177,8 @@
             .TIMES(3)
             .LR_SIDE_EFFECT(targets.push_back(_1))
             .LR_RETURN(reply(_1, _2, _3, done("1")));
-        for (int turn = 0; turn < 3; ++turn)
-            f.runner.run(f.asked("redeem"), f.in_force);
+        for (int run = 0; run < 3; ++run)
+            f.runner.run(f.request_for("redeem"), f.snapshot);
         CHECK(targets == std::vector<std::string>(3, targets[0]));
     }
 }
--- a/tests/support/accept_all.hpp
+++ b/tests/support/accept_all.hpp
@@ -7,8 +7,8 @@
 namespace mangofold::test
 {
 
-/// Accepts connections until \a acceptor is closed, and starts what \a serve
-/// makes of each.
+/// Accepts connections until \a acceptor is closed, and starts the coroutine
+/// that \a serve returns for each socket.
 template<typename Serve>
 serving::awaitable<void> accept_all(serving::asio::io_context& loop,
                                     serving::tcp::acceptor& acceptor,
--- a/tests/support/played_entry.hpp
+++ b/tests/support/played_entry.hpp
@@ -21,8 +21,8 @@
 using serving::start;
 using serving::tcp;
 
-/// The other entry, as a test plays it: keeps what it was asked for, and
-/// answers pings only.
+/// A fake peer entry: records the jobs and catalogs that it is asked for, and
+/// replies to pings only.
 struct played_entry
 {
     explicit played_entry(asio::io_context& its_loop)
