--- a/packages/entry/caller_api.cpp
+++ b/packages/entry/caller_api.cpp
@@ -17,21 +17,21 @@
 constexpr decision::duration default_retry_delay = std::chrono::seconds(1);
 constexpr std::size_t max_recent_requests = 50'000;
 
-outcome refusal(reason why, decision::duration retry_after = {})
+outcome refusal(reason cause, decision::duration retry_after = {})
 {
     outcome result;
     result.kind = outcome_kind::refused;
-    result.why = why;
+    result.cause = cause;
     result.retry_after = retry_after;
     return result;
 }
 
-outcome malformed(reason why, std::string text)
+outcome malformed(reason cause, std::string text)
 {
     outcome result;
     result.kind = outcome_kind::malformed;
-    result.why = why;
-    result.text = std::move(text);
+    result.cause = cause;
+    result.message = std::move(text);
     return result;
 }
 
@@ -51,7 +51,7 @@
     case outcome_kind::answered:
         return 200;
     case outcome_kind::refused:
-        return result.why == reason::account_limit ? 429 : 503;
+        return result.cause == reason::account_limit ? 429 : 503;
     case outcome_kind::failed:
         return 502;
     case outcome_kind::unknown:
@@ -59,7 +59,7 @@
     case outcome_kind::deadline_passed:
         return 504;
     case outcome_kind::malformed:
-        return result.why == reason::unknown_pipeline ? 404 : 400;
+        return result.cause == reason::unknown_pipeline ? 404 : 400;
     }
     return 500;
 }
@@ -94,7 +94,7 @@
 {
 }
 
-void caller_api::add_to(runtime::http_server& server)
+void caller_api::register_handlers(runtime::http_server& server)
 {
     server.set_handler("/v1/requests", [this](const http_request& incoming)
                        { return handle_request(incoming); });
@@ -113,7 +113,7 @@
                        runtime::label("pipeline", pipeline) + "," +
                            runtime::label("outcome", to_string(result.kind)) +
                            "," +
-                           runtime::label("reason", to_string(result.why))});
+                           runtime::label("reason", to_string(result.cause))});
     m_metrics.observe(
         {"mangofold_request_seconds", runtime::label("pipeline", pipeline)},
         m_clock.now() - started_at);
@@ -245,7 +245,7 @@
     if (parsed.id.empty())
         return to_reply(
             parsed, malformed(reason::bad_request, "'request_id' is missing"));
-    const auto ticket = m_runner.mint(parsed, *pipeline, snapshot);
+    const auto ticket = m_runner.mint_tickets(parsed, *pipeline, snapshot);
     if (!ticket)
         return to_reply(parsed,
                         refusal(reason::no_target, default_retry_delay));
@@ -266,15 +266,15 @@
                         {"ran", ran_text(result.kind)}};
     if (result.kind != outcome_kind::answered)
     {
-        body["reason"] = to_string(result.why);
+        body["reason"] = to_string(result.cause);
         // A request can always be resent under the same id: the owner
         // recognizes a stage that must not be repeated.
         body["may_resend"] = result.kind != outcome_kind::malformed;
     }
     if (!result.stage.empty())
         body["stage"] = result.stage;
-    if (!result.text.empty())
-        body["message"] = result.text;
+    if (!result.message.empty())
+        body["message"] = result.message;
     if (result.is_replayed)
         body["replayed"] = true;
     const auto retry_ms =
@@ -287,7 +287,7 @@
              {"attempts", cost.attempts},
              {"service_us",
               std::chrono::duration_cast<std::chrono::microseconds>(
-                  cost.service)
+                  cost.service_time)
                   .count()}});
     std::string text = body.dump();
     if (result.kind == outcome_kind::answered)
--- a/packages/entry/caller_api.hpp
+++ b/packages/entry/caller_api.hpp
@@ -22,7 +22,7 @@
 /// tickets that bind the stages that must not be repeated to their owners.
 ///
 /// Applies the limits of the entry and of the client accounts before a request
-/// runs. All functions may be called from any thread.
+/// runs. The handlers run on the threads of the HTTP server.
 class caller_api
 {
 public:
@@ -31,7 +31,7 @@
                runtime::metrics& metrics, unsigned max_in_progress);
 
     /// Registers the handlers of the API in \a server.
-    void add_to(runtime::http_server& server);
+    void register_handlers(runtime::http_server& server);
 
     /// Refuses all further requests.
     void set_draining()
@@ -41,6 +41,7 @@
     }
 
     bool is_draining() const { return m_is_draining; }
+
     /// Returns the number of requests in progress.
     std::size_t in_progress() const;
 
--- a/packages/entry/content_guard.cpp
+++ b/packages/entry/content_guard.cpp
@@ -7,7 +7,8 @@
 
 using decision::quarantine;
 
-void content_guard::set_seat(std::function<decision::ordinal()> own_ordinal)
+void content_guard::set_own_ordinal(
+    std::function<decision::ordinal()> own_ordinal)
 {
     const std::lock_guard lock(m_mutex);
     m_own_ordinal = std::move(own_ordinal);
@@ -17,8 +18,8 @@
 // and each time crashes as many targets as it has attempts. Only requests whose
 // content is suspected are blocked.
 std::optional<decision::duration>
-content_guard::keep_back(const decision::digest& content,
-                         decision::instant deadline, mailbox& replies)
+content_guard::quarantine_delay(const decision::digest& content,
+                                decision::instant deadline, mailbox& replies)
 {
     using admission = quarantine::admission;
     constexpr decision::duration poll_interval = std::chrono::milliseconds(10);
@@ -48,7 +49,7 @@
     return verdict;
 }
 
-void content_guard::note_end(const decision::target_crash& crash)
+void content_guard::note_crash(const decision::target_crash& crash)
 {
     const std::lock_guard lock(m_mutex);
     const decision::instant now = m_clock.now();
--- a/packages/entry/content_guard.hpp
+++ b/packages/entry/content_guard.hpp
@@ -27,20 +27,21 @@
     {
     }
 
-    /// Sets the function that returns the position of this entry among all.
-    void set_seat(std::function<decision::ordinal()> own_ordinal);
+    /// Sets the function that returns the position of this entry among all
+    /// entries.
+    void set_own_ordinal(std::function<decision::ordinal()> own_ordinal);
 
     /// Returns the delay after which to resend \a content if it must not be
     /// sent to a target, or nothing if it may be sent now. Blocks while the
     /// decision depends on a running trial, until \a deadline at the latest,
     /// and discards what arrives in \a replies meanwhile, since that answers
     /// abandoned attempts.
-    std::optional<decision::duration> keep_back(const decision::digest& content,
-                                                decision::instant deadline,
-                                                mailbox& replies);
+    std::optional<decision::duration>
+    quarantine_delay(const decision::digest& content,
+                     decision::instant deadline, mailbox& replies);
 
     /// Records \a crash, as reported by the sidecar of the target.
-    void note_end(const decision::target_crash& crash);
+    void note_crash(const decision::target_crash& crash);
 
     /// Notes that a target completed \a content.
     void note_served(const decision::digest& content);
--- a/packages/entry/entry.hpp
+++ b/packages/entry/entry.hpp
@@ -37,8 +37,8 @@
 
 private:
     void add_children();
-    std::unique_ptr<runtime::http_server> caller_server();
-    std::unique_ptr<runtime::http_server> admin_server();
+    std::unique_ptr<runtime::http_server> make_client_server();
+    std::unique_ptr<runtime::http_server> make_admin_server();
     runtime::http_reply status() const;
     bool is_ready() const;
 
@@ -47,11 +47,11 @@
     runtime::metrics m_metrics;
     configuration::config_store m_store;
     router m_router;
-    link_context m_context;
+    link_context m_link_context;
     link_table m_links;
     pipeline_runner m_runner;
-    caller_api m_callers;
-    configuration::platform_reader m_platform;
+    caller_api m_caller_api;
+    configuration::platform_reader m_platform_reader;
     runtime::supervisor m_supervisor;
 };
 
--- a/packages/entry/entry_settings.cpp
+++ b/packages/entry/entry_settings.cpp
@@ -56,7 +56,7 @@
         "trace, debug, info, warning, error or off");
 }
 
-entry_settings checked(const runtime::settings& flags)
+entry_settings checked_settings(const runtime::settings& flags)
 {
     entry_settings value;
     value.id = flags.required_text("id");
--- a/packages/entry/entry_settings.hpp
+++ b/packages/entry/entry_settings.hpp
@@ -34,6 +34,6 @@
 
 /// Returns the settings in \a flags. Throws runtime::settings_error if a value
 /// is missing or out of range.
-entry_settings checked(const runtime::settings& flags);
+entry_settings checked_settings(const runtime::settings& flags);
 
 } // namespace mangofold::entry
--- a/packages/entry/link_table.cpp
+++ b/packages/entry/link_table.cpp
@@ -126,7 +126,7 @@
                                            m_links.size());
 }
 
-std::optional<dispatched>
+std::optional<sent_submission>
 link_table::submit(const std::string& target, decision::submission work,
                    const std::shared_ptr<mailbox>& replies)
 {
@@ -136,17 +136,17 @@
     return link->submit(std::move(work), replies);
 }
 
-void link_table::withdraw(const dispatched& sent)
+void link_table::cancel(const sent_submission& sent)
 {
     if (const link_ptr link = find_or_open(sent.target))
-        link->withdraw(sent.number);
+        link->cancel(sent.number);
 }
 
-bool link_table::mint(const std::string& target,
-                      const std::shared_ptr<mailbox>& replies)
+bool link_table::request_ticket(const std::string& target,
+                                const std::shared_ptr<mailbox>& replies)
 {
     const link_ptr link = find_or_open(target);
-    return link && link->mint(replies);
+    return link && link->request_ticket(replies);
 }
 
 // The owner of a request that must not be repeated can be outside the subset of
--- a/packages/entry/link_table.hpp
+++ b/packages/entry/link_table.hpp
@@ -49,12 +49,12 @@
     /// decision::estimated_entry_count().
     double entry_count() const;
 
-    std::optional<dispatched>
+    std::optional<sent_submission>
     submit(const std::string& target, decision::submission work,
            const std::shared_ptr<mailbox>& replies) override;
-    void withdraw(const dispatched& sent) override;
-    bool mint(const std::string& target,
-              const std::shared_ptr<mailbox>& replies) override;
+    void cancel(const sent_submission& sent) override;
+    bool request_ticket(const std::string& target,
+                        const std::shared_ptr<mailbox>& replies) override;
 
 private:
     using link_ptr = std::shared_ptr<sidecar_link>;
--- a/packages/entry/mailbox.hpp
+++ b/packages/entry/mailbox.hpp
@@ -15,7 +15,7 @@
 {
 
 /// The result of a submission, as received from a sidecar.
-struct result_arrived
+struct result_message
 {
     std::string target;
     std::string request_id;
@@ -25,7 +25,7 @@
 };
 
 /// The stream to a sidecar ended while a submission was in progress.
-struct link_broke
+struct link_lost_message
 {
     std::string target;
     std::uint32_t attempt = 0;
@@ -33,43 +33,45 @@
 
 /// The reply of a sidecar to a ticket request; empty if the sidecar refused or
 /// the stream ended.
-struct ticket_arrived
+struct ticket_message
 {
     std::optional<decision::ticket> value;
 };
 
-using mail = std::variant<result_arrived, link_broke, ticket_arrived>;
+using mailbox_message =
+    std::variant<result_message, link_lost_message, ticket_message>;
 
 /// Queues the replies of sidecars to one request in progress for the thread
 /// that runs the request.
 class mailbox
 {
 public:
-    void put(mail message)
+    void put(mailbox_message message)
     {
         {
             const std::lock_guard lock(m_mutex);
-            m_mail.push_back(std::move(message));
+            m_messages.push_back(std::move(message));
         }
         m_arrived.notify_one();
     }
 
     /// Returns the next message, or nothing if none arrives within \a timeout.
-    std::optional<mail> take(decision::duration timeout)
+    std::optional<mailbox_message> take(decision::duration timeout)
     {
         std::unique_lock lock(m_mutex);
-        m_arrived.wait_for(lock, timeout, [this] { return !m_mail.empty(); });
-        if (m_mail.empty())
+        m_arrived.wait_for(lock, timeout,
+                           [this] { return !m_messages.empty(); });
+        if (m_messages.empty())
             return std::nullopt;
-        mail message = std::move(m_mail.front());
-        m_mail.pop_front();
+        mailbox_message message = std::move(m_messages.front());
+        m_messages.pop_front();
         return message;
     }
 
 private:
     std::mutex m_mutex;
     std::condition_variable m_arrived;
-    std::deque<mail> m_mail;
+    std::deque<mailbox_message> m_messages;
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/main.cpp
+++ b/packages/entry/main.cpp
@@ -20,7 +20,7 @@
         flags.read(argc, argv);
         if (runtime::answered_information(flags, "mangofold-entry"))
             return runtime::exit_ok;
-        values = entry::checked(flags);
+        values = entry::checked_settings(flags);
         if (!runtime::start_log("entry", values.id, values.log_level))
             throw runtime::settings_error("--log-level has an unknown value");
     }
--- a/packages/entry/outcome.hpp
+++ b/packages/entry/outcome.hpp
@@ -28,7 +28,7 @@
 struct stage_cost
 {
     std::string stage;
-    decision::duration service{};
+    decision::duration service_time{};
     std::uint32_t attempts = 0;
 
     friend bool operator==(const stage_cost&, const stage_cost&) = default;
@@ -38,10 +38,10 @@
 struct outcome
 {
     outcome_kind kind = outcome_kind::unknown;
-    decision::reason why = decision::reason::none;
-    std::string stage;  ///< The stage that ended the request, if not answered.
-    std::string answer; ///< JSON.
-    std::string text;   ///< Explains the reason to a person; may be empty.
+    decision::reason cause = decision::reason::none;
+    std::string stage;   ///< The stage that ended the request, if not answered.
+    std::string answer;  ///< JSON.
+    std::string message; ///< Explains the reason to a person; may be empty.
     decision::duration retry_after{};
     bool is_replayed = false;
     std::vector<stage_cost> costs;
--- a/packages/entry/pipeline_progress.hpp
+++ b/packages/entry/pipeline_progress.hpp
@@ -8,19 +8,20 @@
 /// The state of a request while it runs through its pipeline.
 struct pipeline_runner::progress
 {
-    progress(const request& what, const manifest::document& manifest,
-             const manifest::pipeline& through, decision::instant latest)
-        : asked(what), document(manifest), pipeline(through), deadline(latest)
+    progress(const request& from_client, const manifest::document& manifest,
+             const manifest::pipeline& to_run, decision::instant latest_end)
+        : client_request(from_client), document(manifest), pipeline(to_run),
+          deadline(latest_end)
     {
     }
 
-    const request& asked;
+    const request& client_request;
     const manifest::document& document;
     const manifest::pipeline& pipeline;
     decision::instant deadline;
     std::shared_ptr<mailbox> replies = std::make_shared<mailbox>();
-    std::string previous; ///< Output of the previous stage, JSON.
-    bool has_run = false; ///< Whether a stage has completed.
+    std::string previous_output;      ///< Output of the previous stage, JSON.
+    bool has_completed_stage = false; ///< Whether a stage has completed.
     outcome result;
 };
 
--- a/packages/entry/pipeline_runner.cpp
+++ b/packages/entry/pipeline_runner.cpp
@@ -16,7 +16,7 @@
                                  const runtime::clock& clock,
                                  runtime::metrics& metrics)
     : m_sidecars(sidecars), m_router(routes), m_clock(clock),
-      m_metrics(metrics), m_contents(clock, metrics)
+      m_metrics(metrics), m_quarantine(clock, metrics)
 {
 }
 
@@ -40,12 +40,12 @@
             set_failure(state, stage, result);
             return state.result;
         }
-        state.has_run = true;
+        state.has_completed_stage = true;
         state.result.is_replayed = result.is_replayed;
-        state.previous = result.body;
+        state.previous_output = result.body;
     }
     state.result.kind = outcome_kind::answered;
-    state.result.answer = std::move(state.previous);
+    state.result.answer = std::move(state.previous_output);
     return state.result;
 }
 
@@ -54,7 +54,7 @@
 // the client would learn of the failure only at the deadline.
 bool pipeline_runner::refuse_if_infeasible(progress& state, duration allowed)
 {
-    const duration expected = m_router.expected(state.pipeline);
+    const duration expected = m_router.expected_latency(state.pipeline);
     // The expected latency is an average: with a limit close to the deadline,
     // half of the requests would miss it after most of their work was done.
     constexpr double max_deadline_share = 0.75;
@@ -64,7 +64,7 @@
         return false;
     random_source random(m_next_seed++);
     state.result.kind = outcome_kind::refused;
-    state.result.why = reason::too_late;
+    state.result.cause = reason::too_late;
     // Spread the retries over the time that the queued work takes, so that
     // the clients refused now do not all retry at once.
     state.result.retry_after =
@@ -81,14 +81,14 @@
                                   const stage_result& result)
 {
     outcome& failure = state.result;
-    failure.why = result.cause;
+    failure.cause = result.cause;
     failure.stage = stage.id;
     failure.retry_after = result.retry_after;
     const bool is_past_deadline = result.cause == reason::deadline_passed;
     const bool is_reported_by_owner =
         !stage.is_repeatable && is_reported_by_sidecar(result.cause);
     const bool is_refused = result.status == stage_status::refused;
-    if (is_refused && !state.has_run &&
+    if (is_refused && !state.has_completed_stage &&
         (is_reported_by_owner || state.pipeline.is_repeatable()))
         failure.kind = outcome_kind::refused;
     else if (!state.pipeline.is_repeatable())
@@ -107,14 +107,15 @@
                                     ? run_repeatable(state, stage, cost)
                                     : run_owned(state, stage, cost);
     if (result.status == stage_status::done)
-        m_contents.note_served(stage_content(state, stage));
+        m_quarantine.note_served(stage_content(state, stage));
     const std::string labels = runtime::label("pipeline", state.pipeline.id) +
                                "," + runtime::label("stage", stage.id);
     m_metrics.observe({"mangofold_stage_seconds", labels},
                       m_clock.now() - started_at);
     m_metrics.count({"mangofold_stage_service_microseconds_total", labels}) +=
         static_cast<std::uint64_t>(
-            std::chrono::duration_cast<std::chrono::microseconds>(cost.service)
+            std::chrono::duration_cast<std::chrono::microseconds>(
+                cost.service_time)
                 .count());
     state.result.costs.push_back(std::move(cost));
     return result;
@@ -123,15 +124,16 @@
 digest pipeline_runner::stage_content(const progress& state,
                                       const manifest::stage& stage)
 {
-    return stage_content_digest({state.asked.account, state.asked.id, stage.id},
-                                content_digest(state.asked));
+    return stage_content_digest(
+        {state.client_request.account, state.client_request.id, stage.id},
+        content_digest(state.client_request));
 }
 
-std::optional<duration> pipeline_runner::keep_back(progress& state,
-                                                   const manifest::stage& stage)
+std::optional<duration>
+pipeline_runner::quarantine_delay(progress& state, const manifest::stage& stage)
 {
-    return m_contents.keep_back(stage_content(state, stage), state.deadline,
-                                *state.replies);
+    return m_quarantine.quarantine_delay(stage_content(state, stage),
+                                         state.deadline, *state.replies);
 }
 
 stage_result pipeline_runner::run_repeatable(progress& state,
@@ -140,20 +142,20 @@
 {
     repeatable_run attempts(m_policy, state.deadline, m_next_seed++);
     const std::string timing_key = state.pipeline.id + "/" + stage.id;
-    const duration typical_latency = m_timing.p99(timing_key);
+    const duration typical_latency = m_latency.p99(timing_key);
     const work_class work = state.pipeline.priority;
     instant sent_at{};
-    std::optional<dispatched> in_flight;
+    std::optional<sent_submission> in_flight;
     const auto cancel_in_flight = [&]
     {
         if (in_flight)
-            m_sidecars.withdraw(*in_flight);
+            m_sidecars.cancel(*in_flight);
         in_flight.reset();
     };
     while (true)
     {
         const instant now = m_clock.now();
-        const attempt_step step = m_router.with_budget(
+        const attempt_step step = m_router.with_retry_budget(
             stage.pool,
             [&](retry_budget& budget)
             {
@@ -169,7 +171,7 @@
         if (const auto* send = std::get_if<send_attempt>(&step))
         {
             cancel_in_flight();
-            if (const auto retry_after = keep_back(state, stage))
+            if (const auto retry_after = quarantine_delay(state, stage))
                 return attempts.quarantined_result(*retry_after);
             const auto target =
                 m_router.pick(stage.pool, work, send->avoided_targets);
@@ -192,9 +194,9 @@
         if (!result)
             continue;
         in_flight.reset();
-        cost.service += result->service_time;
+        cost.service_time += result->service_time;
         if (result->status == stage_status::done)
-            m_timing.add(timing_key, m_clock.now() - sent_at);
+            m_latency.add(timing_key, m_clock.now() - sent_at);
     }
 }
 
@@ -202,7 +204,7 @@
                                         const manifest::stage& stage,
                                         stage_cost& cost)
 {
-    const auto& tickets = state.asked.tickets;
+    const auto& tickets = state.client_request.tickets;
     const auto ticket = std::find_if(tickets.begin(), tickets.end(),
                                      [&](const stage_ticket& candidate)
                                      { return candidate.stage == stage.id; });
@@ -211,7 +213,7 @@
         ticket_target = ticket->value.target;
     owned_run attempts(m_policy, state.deadline, owners(state, stage),
                        ticket_target);
-    if (const auto retry_after = keep_back(state, stage))
+    if (const auto retry_after = quarantine_delay(state, stage))
         return refused(reason::quarantined, *retry_after);
     while (true)
     {
@@ -238,7 +240,7 @@
         const auto result = next_result(state, stage, attempts,
                                         std::get<wait_until>(step).until);
         if (result && !result->is_replayed)
-            cost.service += result->service_time;
+            cost.service_time += result->service_time;
     }
 }
 
@@ -254,16 +256,16 @@
     if (!arrived)
         return std::nullopt;
     const instant now = m_clock.now();
-    if (const auto* lost_link = std::get_if<link_broke>(&*arrived))
+    if (const auto* lost_link = std::get_if<link_lost_message>(&*arrived))
     {
         attempts.link_lost(lost_link->attempt, now);
         count_unanswered_attempt(stage, reason::link_lost);
         return std::nullopt;
     }
-    const auto* arrived_result = std::get_if<result_arrived>(&*arrived);
+    const auto* arrived_result = std::get_if<result_message>(&*arrived);
     if (arrived_result == nullptr)
         return std::nullopt;
-    const bool is_own = arrived_result->request_id == state.asked.id &&
+    const bool is_own = arrived_result->request_id == state.client_request.id &&
                         arrived_result->stage == stage.id;
     if (!is_own ||
         !attempts.ended(arrived_result->attempt, arrived_result->result, now))
@@ -281,32 +283,35 @@
                                             const send_attempt& step)
 {
     submission work;
-    work.key = {state.asked.account, state.asked.id, stage.id};
+    work.key = {state.client_request.account, state.client_request.id,
+                stage.id};
     work.attempt = step.attempt;
     work.is_repeatable = stage.is_repeatable;
     work.priority = state.pipeline.priority;
     const manifest::account* account =
-        state.document.find_account(state.asked.account);
+        state.document.find_account(state.client_request.account);
     work.weight = account != nullptr ? account->weight : 1;
     work.budget = std::max(state.deadline - m_clock.now(), duration::zero());
     work.model = stage.model;
-    work.request_digest = content_digest(state.asked);
+    work.request_digest = content_digest(state.client_request);
     work.pinned_incarnation = step.pinned_incarnation;
     work.renounced_by = step.renounced_by;
     work.body = "{\"request\":";
-    work.body += state.asked.input.empty() ? "null" : state.asked.input;
+    work.body += state.client_request.input.empty()
+                     ? "null"
+                     : state.client_request.input;
     work.body += ",\"previous\":";
-    work.body += state.previous.empty() ? "null" : state.previous;
+    work.body += state.previous_output.empty() ? "null" : state.previous_output;
     work.body += '}';
     return work;
 }
 
 void pipeline_runner::count_unanswered_attempt(const manifest::stage& stage,
-                                               reason why)
+                                               reason cause)
 {
     ++m_metrics.count({"mangofold_attempts_without_answer_total",
                        runtime::label("stage", stage.id) + "," +
-                           runtime::label("reason", to_string(why))});
+                           runtime::label("reason", to_string(cause))});
 }
 
 } // namespace mangofold::entry
--- a/packages/entry/pipeline_runner.hpp
+++ b/packages/entry/pipeline_runner.hpp
@@ -8,7 +8,7 @@
 #include "entry/outcome.hpp"
 #include "entry/request.hpp"
 #include "entry/router.hpp"
-#include "entry/stage_timing.hpp"
+#include "entry/stage_latency.hpp"
 #include "runtime/clock.hpp"
 #include "runtime/metrics.hpp"
 
@@ -35,11 +35,11 @@
     /// repeated, as text for the client, or nothing if one of them is not
     /// available now.
     std::optional<std::string>
-    mint(const request& value, const manifest::pipeline& pipeline,
-         const configuration::snapshot_ptr& snapshot);
+    mint_tickets(const request& value, const manifest::pipeline& pipeline,
+                 const configuration::snapshot_ptr& snapshot);
 
     /// Returns the quarantine of requests that crash targets.
-    content_guard& contents() { return m_contents; }
+    content_guard& quarantine() { return m_quarantine; }
 
 private:
     struct progress;
@@ -64,8 +64,8 @@
                 Attempts& attempts, decision::instant until);
     static decision::digest stage_content(const progress& state,
                                           const manifest::stage& stage);
-    std::optional<decision::duration> keep_back(progress& state,
-                                                const manifest::stage& stage);
+    std::optional<decision::duration>
+    quarantine_delay(progress& state, const manifest::stage& stage);
     decision::submission make_submission(const progress& state,
                                          const manifest::stage& stage,
                                          const decision::send_attempt& step);
@@ -74,7 +74,7 @@
     std::vector<std::string> owners(const progress& state,
                                     const manifest::stage& stage) const;
     void count_unanswered_attempt(const manifest::stage& stage,
-                                  decision::reason why);
+                                  decision::reason cause);
 
     static void set_failure(progress& state, const manifest::stage& stage,
                             const decision::stage_result& result);
@@ -83,8 +83,8 @@
     router& m_router;
     const runtime::clock& m_clock;
     runtime::metrics& m_metrics;
-    content_guard m_contents;
-    stage_timing m_timing;
+    content_guard m_quarantine;
+    stage_latency m_latency;
     decision::attempt_policy m_policy;
     std::atomic<std::uint64_t> m_next_seed{1};
 };
--- a/packages/entry/request.hpp
+++ b/packages/entry/request.hpp
@@ -12,7 +12,7 @@
 namespace mangofold::entry
 {
 
-/// A ticket for one stage of a request that must not be repeated.
+/// A ticket for a stage that must not be repeated.
 struct stage_ticket
 {
     std::string stage;
--- a/packages/entry/router.cpp
+++ b/packages/entry/router.cpp
@@ -52,7 +52,7 @@
     return found->second.pick(work, avoided_targets, m_clock.now());
 }
 
-decision::duration router::expected(const manifest::pipeline& pipeline)
+decision::duration router::expected_latency(const manifest::pipeline& pipeline)
 {
     const decision::instant now = m_clock.now();
     decision::duration sum{};
@@ -105,7 +105,7 @@
         { pool.attempt_ended(target, priority, result, m_clock.now()); });
 }
 
-bool router::is_complete() const
+bool router::has_linked_targets() const
 {
     const std::lock_guard lock(m_mutex);
     if (m_pools.empty())
--- a/packages/entry/router.hpp
+++ b/packages/entry/router.hpp
@@ -32,7 +32,7 @@
          const std::vector<std::string>& avoided_targets);
     /// Returns the expected latency of a request through all stages of
     /// \a pipeline.
-    decision::duration expected(const manifest::pipeline& pipeline);
+    decision::duration expected_latency(const manifest::pipeline& pipeline);
 
     void link_opened(const std::string& target);
     void link_closed(const std::string& target);
@@ -45,14 +45,14 @@
 
     /// Calls \a use with the retry budget of \a pool.
     template<typename Use>
-    auto with_budget(const std::string& pool, Use use)
+    auto with_retry_budget(const std::string& pool, Use use)
     {
         const std::lock_guard lock(m_mutex);
         return use(m_budgets.at(pool));
     }
 
     /// Whether every pool that has targets has a linked one.
-    bool is_complete() const;
+    bool has_linked_targets() const;
 
 private:
     template<typename Update>
--- a/packages/entry/sidecar_link.cpp
+++ b/packages/entry/sidecar_link.cpp
@@ -45,7 +45,7 @@
     if (!silent)
         return;
     ++m_context.metrics.count({"mangofold_links_silent_total", ""});
-    silent->end();
+    silent->cancel();
 }
 
 void sidecar_link::open_stream()
@@ -81,7 +81,7 @@
         open = m_stream;
     }
     if (open)
-        open->end();
+        open->cancel();
 }
 
 void sidecar_link::stream_closed(std::uint64_t epoch)
@@ -104,15 +104,15 @@
     {
         if (request.attempt == 0)
         {
-            request.replies->put(ticket_arrived{});
+            request.replies->put(ticket_message{});
             continue;
         }
         m_context.routes.attempt_ended(m_target, request.priority, result);
-        request.replies->put(link_broke{m_target, request.attempt});
+        request.replies->put(link_lost_message{m_target, request.attempt});
     }
 }
 
-std::optional<dispatched>
+std::optional<sent_submission>
 sidecar_link::submit(decision::submission work,
                      const std::shared_ptr<mailbox>& replies)
 {
@@ -133,23 +133,23 @@
     m_pending.emplace(number,
                       pending_request{replies, work.attempt, work.priority});
     m_context.routes.attempt_sent(m_target, work.priority);
-    return dispatched{m_target, number, m_grant.incarnation};
+    return sent_submission{m_target, number, m_grant.incarnation};
 }
 
-void sidecar_link::withdraw(std::uint64_t number)
+void sidecar_link::cancel(std::uint64_t number)
 {
-    const std::optional<pending_request> withdrawn = take_pending(number);
-    if (!withdrawn)
+    const std::optional<pending_request> cancelled = take_pending(number);
+    if (!cancelled)
         return;
     m_context.routes.attempt_ended(
-        m_target, withdrawn->priority,
+        m_target, cancelled->priority,
         decision::unknown_outcome(decision::reason::target_timeout));
     wire::EntryMessage message;
     message.mutable_cancel()->set_number(number);
     send(std::move(message));
 }
 
-bool sidecar_link::mint(const std::shared_ptr<mailbox>& replies)
+bool sidecar_link::request_ticket(const std::shared_ptr<mailbox>& replies)
 {
     std::uint64_t number = 0;
     {
@@ -218,8 +218,8 @@
                               configuration::source::peer);
         return;
     case wire::SidecarMessage::kTargetLost:
-        if (m_context.note_target_end)
-            m_context.note_target_end(wire::from_wire(
+        if (m_context.on_target_crash)
+            m_context.on_target_crash(wire::from_wire(
                 message.target_lost(), m_target, m_context.clock.now()));
         return;
     case wire::SidecarMessage::kProgress:
@@ -264,7 +264,7 @@
     const decision::stage_result result = wire::from_wire(message);
     m_context.routes.attempt_ended(m_target, request->priority, result);
     m_context.routes.load_reported(m_target, wire::from_wire(message.load()));
-    request->replies->put(result_arrived{m_target, message.request_id(),
+    request->replies->put(result_message{m_target, message.request_id(),
                                          message.stage(), message.attempt(),
                                          result});
 }
@@ -276,7 +276,7 @@
         take_pending(minted.number());
     if (!request)
         return;
-    ticket_arrived arrived;
+    ticket_message arrived;
     if (!minted.refused())
         arrived.value = decision::ticket{minted.ticket().target_id(),
                                          minted.ticket().incarnation(),
--- a/packages/entry/sidecar_link.hpp
+++ b/packages/entry/sidecar_link.hpp
@@ -39,7 +39,7 @@
     configuration::config_store& store;
     router& routes;
     /// Called with each target crash that a sidecar reports.
-    std::function<void(const decision::target_crash&)> note_target_end = {};
+    std::function<void(const decision::target_crash&)> on_target_crash = {};
 };
 
 /// The link to one sidecar, which carries submissions, results, load reports
@@ -58,10 +58,13 @@
     /// Closes the stream for good.
     void close();
 
-    std::optional<dispatched> submit(decision::submission work,
-                                     const std::shared_ptr<mailbox>& replies);
-    void withdraw(std::uint64_t number);
-    bool mint(const std::shared_ptr<mailbox>& replies);
+    /// Implements dispatcher::submit().
+    std::optional<sent_submission>
+    submit(decision::submission work, const std::shared_ptr<mailbox>& replies);
+    /// Cancels the submission \a number if it is still pending.
+    void cancel(std::uint64_t number);
+    /// Implements dispatcher::request_ticket().
+    bool request_ticket(const std::shared_ptr<mailbox>& replies);
 
     /// Sends the current manifest generation of this entry to the sidecar.
     void announce_generation();
@@ -92,8 +95,10 @@
     void handle_grant(const wire::Grant& grant);
     void handle_result(const wire::Result& message);
     void handle_ticket(const wire::SidecarMessage& message);
-    /// Asks the sidecar for its manifest if \a generation is newer than ours.
+    /// Asks the sidecar for its manifest if \a generation is newer than
+    /// the one of this entry.
     void request_newer_manifest(std::uint64_t generation);
+    /// Removes and returns the pending request \a number, if there is one.
     std::optional<pending_request> take_pending(std::uint64_t number);
     bool send(wire::EntryMessage message);
 
--- a/packages/entry/sidecar_stream.cpp
+++ b/packages/entry/sidecar_stream.cpp
@@ -35,7 +35,7 @@
     StartCall();
 }
 
-void sidecar_stream::end()
+void sidecar_stream::cancel()
 {
     m_context.TryCancel();
     close();
--- a/packages/entry/sidecar_stream.hpp
+++ b/packages/entry/sidecar_stream.hpp
@@ -19,10 +19,10 @@
       public std::enable_shared_from_this<sidecar_stream>
 {
 public:
-    using receiver = std::function<void(const wire::SidecarMessage&)>;
-    using closer = std::function<void()>;
+    using message_handler = std::function<void(const wire::SidecarMessage&)>;
+    using close_handler = std::function<void()>;
 
-    sidecar_stream(receiver on_message, closer on_closed)
+    sidecar_stream(message_handler on_message, close_handler on_closed)
         : m_on_message(std::move(on_message)), m_on_closed(std::move(on_closed))
     {
     }
@@ -31,7 +31,7 @@
     void open(const std::string& address);
 
     /// Cancels the stream from the side of the entry.
-    void end();
+    void cancel();
 
     void OnDone(const grpc::Status&) override { m_self.reset(); }
 
@@ -44,8 +44,8 @@
     void closed() override;
 
 private:
-    receiver m_on_message;
-    closer m_on_closed;
+    message_handler m_on_message;
+    close_handler m_on_closed;
     std::unique_ptr<wire::Link::Stub> m_stub;
     grpc::ClientContext m_context;
     std::shared_ptr<sidecar_stream>
--- a/packages/entry/stage_timing.hpp
+++ b/packages/entry/stage_latency.hpp
@@ -11,7 +11,7 @@
 
 /// Measures the latency of the attempts at each stage. All functions may be
 /// called from any thread.
-class stage_timing
+class stage_latency
 {
 public:
     /// Adds the latency \a value of a completed attempt at \a stage.
--- a/tests/entry/content_guard_test.cpp
+++ b/tests/entry/content_guard_test.cpp
@@ -27,7 +27,8 @@
 
     bool is_quarantined()
     {
-        return guard.keep_back(content, clock.now() + 1s, replies).has_value();
+        return guard.quarantine_delay(content, clock.now() + 1s, replies)
+            .has_value();
     }
 };
 
@@ -40,14 +41,14 @@
     {
         CHECK_FALSE(f.is_quarantined());
         f.clock.advance(1s);
-        f.guard.note_end(f.crash_of(target));
+        f.guard.note_crash(f.crash_of(target));
     }
     CHECK(f.is_quarantined());
     f.guard.note_served(content);
     CHECK_FALSE(f.is_quarantined());
 }
 
-// Guards against refusing a harmless request some time after three targets that
+// Guards against refusing a harmless request a minute after three targets that
 // ran it crashed. The crashes are not held against the request, since it had
 // just been served. When the links to the sidecars open again, the sidecars
 // report the same crashes again, and the record that the request was served has
@@ -61,10 +62,10 @@
     {
         f.clock.advance(1s);
         crashes.push_back(f.crash_of(target));
-        f.guard.note_end(crashes.back());
+        f.guard.note_crash(crashes.back());
     }
     f.clock.advance(20s);
     for (const decision::target_crash& crash : crashes)
-        f.guard.note_end(crash);
+        f.guard.note_crash(crash);
     CHECK_FALSE(f.is_quarantined());
 }
--- a/tests/entry/pipeline_runner_test.cpp
+++ b/tests/entry/pipeline_runner_test.cpp
@@ -31,12 +31,12 @@
 {
 public:
     MAKE_MOCK3(submit,
-               std::optional<entry::dispatched>(
+               std::optional<entry::sent_submission>(
                    const std::string&, decision::submission,
                    const std::shared_ptr<entry::mailbox>&),
                override);
-    MAKE_MOCK1(withdraw, void(const entry::dispatched&), override);
-    MAKE_MOCK2(mint,
+    MAKE_MOCK1(cancel, void(const entry::sent_submission&), override);
+    MAKE_MOCK2(request_ticket,
                bool(const std::string&, const std::shared_ptr<entry::mailbox>&),
                override);
 };
@@ -67,14 +67,14 @@
 
 /// Puts \a result into \a replies, as the sidecar of \a target does for \a
 /// work.
-std::optional<entry::dispatched>
+std::optional<entry::sent_submission>
 reply(const std::string& target, const decision::submission& work,
       const std::shared_ptr<entry::mailbox>& replies,
       const decision::stage_result& result)
 {
-    replies->put(entry::result_arrived{target, work.key.request_id,
+    replies->put(entry::result_message{target, work.key.request_id,
                                        work.key.stage, work.attempt, result});
-    return entry::dispatched{target, 1, 11};
+    return entry::sent_submission{target, 1, 11};
 }
 
 decision::stage_result done(const std::string& body)
--- a/tests/link/link_test.cpp
+++ b/tests/link/link_test.cpp
@@ -120,9 +120,9 @@
             std::this_thread::sleep_for(10ms);
         }
         const auto mail = replies->take(20s);
-        if (!mail || !std::holds_alternative<entry::result_arrived>(*mail))
+        if (!mail || !std::holds_alternative<entry::result_message>(*mail))
             return "none";
-        return std::get<entry::result_arrived>(*mail).result.body;
+        return std::get<entry::result_message>(*mail).result.body;
     }
 };
 
--- a/tests/link/poison_path_test.cpp
+++ b/tests/link/poison_path_test.cpp
@@ -86,8 +86,8 @@
         : context{name, "z1", time, counters, store, routes},
           links(context, links_per_pool), runner(links, routes, time, counters)
     {
-        context.note_target_end = [this](const decision::target_crash& one)
-        { runner.contents().note_end(one); };
+        context.on_target_crash = [this](const decision::target_crash& one)
+        { runner.quarantine().note_crash(one); };
         store.add_listener([this](const configuration::snapshot_ptr& value)
                            { routes.configure(value); });
         store.add_listener([this](const configuration::snapshot_ptr& value)
--- a/tests/runtime/settings_test.cpp
+++ b/tests/runtime/settings_test.cpp
@@ -23,7 +23,7 @@
     runtime::settings settings("test");
     entry::add_flags(settings);
     settings.read(static_cast<int>(all.size()), all.data());
-    return entry::checked(settings);
+    return entry::checked_settings(settings);
 }
 
 } // namespace
--- a/tests/serving/exchange_test.cpp
+++ b/tests/serving/exchange_test.cpp
@@ -1,4 +1,4 @@
-#include "support/good_answers.hpp"
+#include "support/complete_responses.hpp"
 
 #include <doctest/doctest.h>
 
@@ -21,29 +21,30 @@
 TEST_CASE("a request reaches a target and its answer the caller, unchanged")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     const std::string got =
         entry.ask(request("/once/x?y=1", "r1", "Other: o\r\n"), "whole");
-    CHECK(has(got, "HTTP/1.1 200 OK\r\n"));
-    CHECK(has(got, "Seal: s\r\n"));
+    CHECK(contains(got, "HTTP/1.1 200 OK\r\n"));
+    CHECK(contains(got, "Seal: s\r\n"));
     REQUIRE(target.requests().size() == 1);
-    CHECK(has(target.requests()[0], "GET /once/x?y=1 HTTP/1.1\r\n"));
-    CHECK(has(target.requests()[0], "Other: o\r\n"));
-    CHECK(has(target.requests()[0], "To: t1\r\n"));
-    CHECK(has(target.requests()[0], "Account: club\r\n"));
-    CHECK_FALSE(has(target.requests()[0], "good-key"));
+    CHECK(contains(target.requests()[0], "GET /once/x?y=1 HTTP/1.1\r\n"));
+    CHECK(contains(target.requests()[0], "Other: o\r\n"));
+    CHECK(contains(target.requests()[0], "To: t1\r\n"));
+    CHECK(contains(target.requests()[0], "Account: club\r\n"));
+    CHECK_FALSE(contains(target.requests()[0], "good-key"));
 }
 
 TEST_CASE("connections are kept on both sides")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     const auto caller = entry.connect();
     for (int one = 0; one < 3; ++one)
     {
         const std::string id = "r" + std::to_string(one);
         entry.send(*caller, request("/once/", id));
-        entry.run_until([&] { return has(caller->received, "Id: " + id); });
+        entry.run_until([&]
+                        { return contains(caller->received, "Id: " + id); });
         entry.settle();
     }
     CHECK(target.connections() == 1);
@@ -54,27 +55,28 @@
 TEST_CASE("a caller that asks for the last answer gets it, and the close")
 {
     serving_fixture entry;
-    entry.add_target("plain", good);
+    entry.add_target("plain", complete_response);
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1", "Connection: close\r\n"));
     entry.run_until([&] { return caller->is_ended; });
-    CHECK(has(caller->received, "whole"));
+    CHECK(contains(caller->received, "whole"));
 }
 
 TEST_CASE("what this process refuses")
 {
     serving_fixture entry;
-    entry.add_target("plain", good);
-    CHECK(has(entry.ask(request("/nothing/", "r1")), " 404 "));
-    CHECK(has(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: bad\r\n"
-                        "Id: r1\r\n\r\n"),
-              " 401 "));
-    CHECK(has(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\n"
-                        "\r\n"),
-              " 400 "));
-    CHECK(has(entry.ask("nonsense\r\n\r\n"), " 400 "));
+    entry.add_target("plain", complete_response);
+    CHECK(contains(entry.ask(request("/nothing/", "r1")), " 404 "));
+    CHECK(contains(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: bad\r\n"
+                             "Id: r1\r\n\r\n"),
+                   " 401 "));
+    CHECK(
+        contains(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\n"
+                           "\r\n"),
+                 " 400 "));
+    CHECK(contains(entry.ask("nonsense\r\n\r\n"), " 400 "));
     entry.context->catalog = nullptr;
-    CHECK(has(entry.ask(request("/once/", "r1")), " 503 "));
+    CHECK(contains(entry.ask(request("/once/", "r1")), " 503 "));
 }
 
 // Callers of a process that has just started are refused, and wait for their
@@ -86,7 +88,7 @@
     "a request waits for the first configuration of a process that starts")
 {
     serving_fixture entry;
-    entry.add_target("plain", good);
+    entry.add_target("plain", complete_response);
     const auto known = std::exchange(entry.context->catalog, nullptr);
     entry.context->requests_wait_until = entry.time.now() + 500ms;
     const auto caller = entry.connect();
@@ -97,8 +99,8 @@
     entry.settle();
     entry.context->catalog = known;
     entry.time.advance(50ms);
-    entry.run_until([&] { return has(caller->received, "whole"); });
-    CHECK(has(caller->received, "200 OK"));
+    entry.run_until([&] { return contains(caller->received, "whole"); });
+    CHECK(contains(caller->received, "200 OK"));
 }
 
 // The same where the list of targets comes in pages, and the first of them
@@ -113,10 +115,10 @@
     entry.send(*caller, request("/once/", "r1"));
     entry.settle();
     CHECK(caller->received.empty());
-    entry.add_target("plain", good);
+    entry.add_target("plain", complete_response);
     entry.time.advance(50ms);
-    entry.run_until([&] { return has(caller->received, "whole"); });
-    CHECK(has(caller->received, "200 OK"));
+    entry.run_until([&] { return contains(caller->received, "whole"); });
+    CHECK(contains(caller->received, "200 OK"));
 }
 
 // The same where the configuration can't be had: nobody is kept waiting, and
@@ -131,9 +133,9 @@
     entry.send(*early, request("/once/", "r1"));
     entry.settle();
     entry.time.advance(600ms);
-    entry.run_until([&] { return has(early->received, "503"); });
-    CHECK(has(early->received, "Retry-After"));
-    CHECK(has(entry.ask(request("/once/", "r2")), "503"));
+    entry.run_until([&] { return contains(early->received, "503"); });
+    CHECK(contains(early->received, "Retry-After"));
+    CHECK(contains(entry.ask(request("/once/", "r2")), "503"));
 }
 
 // A second request, of which no caller knows, reaches a target.
@@ -142,7 +144,7 @@
 TEST_CASE("a request with two readings of its end is refused")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     const std::string hidden = "0\r\n\r\nGET /once/ HTTP/1.1\r\nHost: h\r\n"
                                "Key: good-key\r\nId: hidden\r\n\r\n";
     const std::string head =
@@ -156,7 +158,7 @@
           std::string("Content-Length: 5\r\nContent-Length: 6\r\n")})
     {
         CAPTURE(fields);
-        CHECK(has(entry.ask(head + fields + "\r\n" + hidden), " 400 "));
+        CHECK(contains(entry.ask(head + fields + "\r\n" + hidden), " 400 "));
     }
     CHECK(target.requests().empty());
 }
@@ -164,13 +166,13 @@
 TEST_CASE("bodies in chunks reach the target with their length")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     entry.ask("POST /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\nId: r1\r\n"
               "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
               "0\r\n\r\n",
               "whole");
     REQUIRE(target.requests().size() == 1);
-    CHECK(has(target.requests()[0], "Content-Length: 5\r\n\r\nabcde"));
+    CHECK(contains(target.requests()[0], "Content-Length: 5\r\n\r\nabcde"));
 }
 
 // A voucher is redeemed twice.
@@ -183,8 +185,8 @@
     auto& first = entry.add_target("plain", always("", end::reset));
     auto& second = entry.add_target("plain", always("", end::reset));
     const std::string got = entry.ask(request("/once/", "r1"));
-    CHECK(has(got, " 502 "));
-    CHECK_FALSE(has(got, "Retry-After"));
+    CHECK(contains(got, " 502 "));
+    CHECK_FALSE(contains(got, "Retry-After"));
     CHECK(first.requests().size() + second.requests().size() == 1);
 }
 
@@ -195,11 +197,11 @@
     const auto once_reset = [&sent](const std::string& text, std::size_t number)
     {
         return ++sent == 1 ? scripted_target::reaction{"", end::reset}
-                           : good(text, number);
+                           : complete_response(text, number);
     };
     entry.add_target("plain", once_reset);
     entry.add_target("plain", once_reset);
-    CHECK(has(entry.ask(request("/again/", "r1"), "whole"), " 200 "));
+    CHECK(contains(entry.ask(request("/again/", "r1"), "whole"), " 200 "));
     CHECK(sent == 2);
 }
 
@@ -213,11 +215,11 @@
                    ? scripted_target::reaction{answer("r1", "", "503 Full",
                                                       "Not-Run: 1\r\n"),
                                                end::keep}
-                   : good(text, number);
+                   : complete_response(text, number);
     };
     entry.add_target("plain", full);
     entry.add_target("plain", full);
-    CHECK(has(entry.ask(request("/once/", "r1"), "whole"), " 200 "));
+    CHECK(contains(entry.ask(request("/once/", "r1"), "whole"), " 200 "));
 }
 
 TEST_CASE("where all targets refuse, the caller is told when to come back")
@@ -231,8 +233,8 @@
     entry.add_target("plain", full);
     entry.add_target("plain", full);
     const std::string got = entry.ask(request("/once/", "r1"));
-    CHECK(has(got, " 503 "));
-    CHECK(has(got, "Retry-After: "));
+    CHECK(contains(got, " 503 "));
+    CHECK(contains(got, "Retry-After: "));
 }
 
 // A caller gets the answer of somebody else.
@@ -244,15 +246,15 @@
     entry.add_target("plain",
                      [](const std::string& text, std::size_t number)
                      {
-                         auto now = good(text, number);
+                         auto now = complete_response(text, number);
                          if (number == 1)
                              now.bytes = answer("r1", "stray") + now.bytes;
                          return now;
                      });
-    CHECK(has(entry.ask(request("/once/", "r1"), "whole"), "whole"));
+    CHECK(contains(entry.ask(request("/once/", "r1"), "whole"), "whole"));
     const std::string got = entry.ask(request("/once/", "r2"), "whole");
-    CHECK(has(got, "Id: r2"));
-    CHECK_FALSE(has(got, "stray"));
+    CHECK(contains(got, "Id: r2"));
+    CHECK_FALSE(contains(got, "stray"));
 }
 
 TEST_CASE("a connection with bytes after its answer is not used again")
@@ -262,11 +264,11 @@
         entry.add_target("plain",
                          [](const std::string& text, std::size_t number)
                          {
-                             auto now = good(text, number);
+                             auto now = complete_response(text, number);
                              now.bytes += answer("r1", "extra");
                              return now;
                          });
-    CHECK_FALSE(has(entry.ask(request("/once/", "r1"), "whole"), "extra"));
+    CHECK_FALSE(contains(entry.ask(request("/once/", "r1"), "whole"), "extra"));
     entry.ask(request("/once/", "r2"), "whole");
     CHECK(target.connections() == 2);
 }
@@ -285,7 +287,7 @@
         serving_fixture entry;
         entry.add_target("plain", always(bytes, then));
         CAPTURE(bytes);
-        CHECK(has(entry.ask(request("/once/", "r1")), " 502 "));
+        CHECK(contains(entry.ask(request("/once/", "r1")), " 502 "));
     }
 }
 
@@ -296,7 +298,7 @@
                      always("HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nwhole",
                             end::close));
     const std::string got = entry.ask(request("/once/", "r1"), "whole");
-    CHECK(has(got, "Content-Length: 5\r\n"));
+    CHECK(contains(got, "Content-Length: 5\r\n"));
 }
 
 // A caller waits without end for a target that fell silent.
@@ -311,7 +313,7 @@
     entry.settle();
     CHECK(caller->received.empty());
     entry.time.advance(200ms);
-    entry.run_until([&] { return has(caller->received, " 504 "); });
+    entry.run_until([&] { return contains(caller->received, " 504 "); });
     entry.run_until([&] { return target.closed_by_other() == 1; });
 }
 
@@ -322,7 +324,7 @@
     const auto silent = [&sent](const std::string& text, std::size_t number)
     {
         return ++sent == 1 ? scripted_target::reaction{"", end::hang}
-                           : good(text, number);
+                           : complete_response(text, number);
     };
     entry.add_target("plain", silent);
     entry.add_target("plain", silent);
@@ -330,7 +332,7 @@
     entry.send(*caller, request("/again/", "r1"));
     entry.run_until([&] { return sent == 1; });
     entry.time.advance(2500ms);
-    entry.run_until([&] { return has(caller->received, "whole"); });
+    entry.run_until([&] { return contains(caller->received, "whole"); });
 }
 
 // A target works on for a caller who has gone.
@@ -355,7 +357,7 @@
 TEST_CASE("a request whose caller left while the process was behind is dropped")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     entry.settle();
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
@@ -370,11 +372,11 @@
 TEST_CASE("a caller that has said all still gets a prompt answer")
 {
     serving_fixture entry;
-    entry.add_target("plain", good);
+    entry.add_target("plain", complete_response);
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
     caller->socket.shutdown(mangofold::serving::tcp::socket::shutdown_send);
-    entry.run_until([&] { return has(caller->received, "whole"); });
+    entry.run_until([&] { return contains(caller->received, "whole"); });
     entry.run_until([&] { return caller->is_ended; });
 }
 
@@ -382,21 +384,21 @@
 TEST_CASE("near the end of a stop requests are sent elsewhere before they run")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     entry.context->drain.emplace(entry.time.now() - 3s, 3s, 2);
     const std::string got = entry.ask(request("/once/", "r1"));
-    CHECK(has(got, " 503 "));
-    CHECK(has(got, "Retry-After"));
+    CHECK(contains(got, " 503 "));
+    CHECK(contains(got, "Retry-After"));
     CHECK(target.requests().empty());
 }
 
 TEST_CASE("a stopping process answers, and closes each connection after")
 {
     serving_fixture entry;
-    entry.add_target("plain", good);
+    entry.add_target("plain", complete_response);
     entry.context->drain.emplace(entry.time.now(), 8s, 2);
     const std::string got = entry.ask(request("/once/", "r1"), "whole");
-    CHECK(has(got, "Connection: close"));
+    CHECK(contains(got, "Connection: close"));
 }
 
 TEST_CASE("a caller that is slow with its head is turned away")
@@ -406,7 +408,7 @@
     entry.send(*caller, "GET /once/ HTT");
     entry.settle();
     entry.time.advance(3100ms);
-    entry.run_until([&] { return has(caller->received, " 408 "); });
+    entry.run_until([&] { return contains(caller->received, " 408 "); });
     entry.run_until([&] { return caller->is_ended; });
 }
 
@@ -414,15 +416,15 @@
 TEST_CASE("no connection to a former start of a target is used")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     mangofold::decision::listed_target listed =
         *entry.context->directory.serving("plain").front();
-    CHECK(has(entry.ask(request("/once/", "r1"), "whole"), "whole"));
-    CHECK(has(entry.ask(request("/once/", "r2"), "whole"), "whole"));
+    CHECK(contains(entry.ask(request("/once/", "r1"), "whole"), "whole"));
+    CHECK(contains(entry.ask(request("/once/", "r2"), "whole"), "whole"));
     CHECK(target.connections() == 1);
     listed.start.born = 200;
     ++listed.revision;
     entry.context->directory.note(listed);
-    CHECK(has(entry.ask(request("/once/", "r3"), "whole"), "whole"));
+    CHECK(contains(entry.ask(request("/once/", "r3"), "whole"), "whole"));
     CHECK(target.connections() == 2);
 }
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -1,6 +1,6 @@
 #include "serving/peer_link.hpp"
 #include "support/accept_all.hpp"
-#include "support/played_entry.hpp"
+#include "support/fake_entry.hpp"
 #include "support/serving_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -57,11 +57,11 @@
         wait =
             std::make_shared<piece_wait>(std::make_shared<signal_point>(loop));
         link->ask("rerank", job, wait);
-        run_until([&] { return other.asked.size() == 1; });
+        run_until([&] { return other.requested_jobs.size() == 1; });
     }
 
     quiet_listener listener;
-    test::played_entry other;
+    test::fake_entry other;
     std::shared_ptr<peer_link> link;
     piece_wait_ptr wait;
 };
@@ -78,8 +78,8 @@
     one.time.advance(600ms);
     one.settle();
     one.other.connection->close();
-    one.run_until([&] { return one.other.asked.size() == 2; });
-    CHECK(one.other.asked[1] == "r1");
+    one.run_until([&] { return one.other.requested_jobs.size() == 2; });
+    CHECK(one.other.requested_jobs[1] == "r1");
     CHECK(one.listener.losses == 0);
     CHECK(one.listener.taken_back == 0);
     CHECK(one.link->is_alive());
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -1,7 +1,7 @@
 #include "serving/peer_mesh.hpp"
 #include "serving/peer_messages.hpp"
+#include "support/fake_entry.hpp"
 #include "support/plain_source.hpp"
-#include "support/played_entry.hpp"
 #include "support/serving_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,7 @@
         context->settings.adoption_time = 3s;
         for (auto& one : others)
         {
-            one = std::make_unique<test::played_entry>(loop);
+            one = std::make_unique<test::fake_entry>(loop);
             one->holding.set_catalog_version(9);
             one->holding.set_cores(1); // It may gather, and is asked often.
             mesh.add(one->address());
@@ -46,13 +46,13 @@
     {
         return std::accumulate(others.begin(), others.end(), std::size_t{0},
                                [](std::size_t sum, const auto& one)
-                               { return sum + one->catalogs_asked; });
+                               { return sum + one->catalog_requests; });
     }
 
     test::plain_source speaks;
     source_reader source;
     peer_mesh mesh;
-    std::array<std::unique_ptr<test::played_entry>, 4> others;
+    std::array<std::unique_ptr<test::fake_entry>, 4> others;
 };
 
 } // namespace
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -1,6 +1,6 @@
 #include "serving/peer_messages.hpp"
 #include "serving/zone_notices.hpp"
-#include "support/good_answers.hpp"
+#include "support/complete_responses.hpp"
 
 #include <doctest/doctest.h>
 
@@ -34,8 +34,8 @@
 TEST_CASE("requests go to other zones while one is evacuated")
 {
     serving_fixture entry;
-    auto& own = entry.add_target("plain", good, "a");
-    auto& other = entry.add_target("plain", good, "b");
+    auto& own = entry.add_target("plain", complete_response, "a");
+    auto& other = entry.add_target("plain", complete_response, "b");
     entry.ask(request("/once/", "r1"), "whole");
     const std::size_t before = own.requests().size();
     evacuate(entry, {"a"}, 5);
@@ -49,12 +49,12 @@
 TEST_CASE("a request is refused at once where all its zones are evacuated")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good, "a");
+    auto& target = entry.add_target("plain", complete_response, "a");
     evacuate(entry, {"a"}, 5);
     const std::string got =
         entry.ask(request("/once/", "r1", "Budget: 3000\r\n"), "evacuated");
-    CHECK(has(got, "503"));
-    CHECK(has(got, "Retry-After: 0.9"));
+    CHECK(contains(got, "503"));
+    CHECK(contains(got, "Retry-After: 0.9"));
     CHECK(target.requests().empty());
 }
 
@@ -62,13 +62,13 @@
 TEST_CASE("a request is refused at once where a stage is wholly evacuated")
 {
     serving_fixture entry;
-    entry.add_target("events", good, "b");
-    entry.add_target("pieces", good, "a");
+    entry.add_target("events", complete_response, "b");
+    entry.add_target("pieces", complete_response, "a");
     evacuate(entry, {"a"}, 5);
     const std::string got =
         entry.ask(request("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
                   "evacuated");
-    CHECK(has(got, "503"));
+    CHECK(contains(got, "503"));
     CHECK(entry.jobs.empty());
 }
 
@@ -77,7 +77,7 @@
 TEST_CASE("what waits for a stage is told at once when it is evacuated")
 {
     serving_fixture entry;
-    entry.add_target("events", good, "b");
+    entry.add_target("events", complete_response, "b");
     auto& maker = entry.add_target("pieces", hung, "a");
     const auto first = entry.connect();
     entry.send(*first,
@@ -89,7 +89,7 @@
     entry.run_until([&] { return entry.jobs.size() == 2; });
     evacuate(entry, {"a"}, 5);
     entry.time.advance(30ms);
-    entry.run_until([&] { return has(second->received, "evacuated"); });
+    entry.run_until([&] { return contains(second->received, "evacuated"); });
     CHECK(maker.requests().size() == 1);
 }
 
@@ -129,9 +129,9 @@
 TEST_CASE("no request is sent before the evacuated zones are known")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", good);
+    auto& target = entry.add_target("plain", complete_response);
     entry.context->evacuations = {};
-    CHECK(has(entry.ask(request("/once/", "r1")), "503"));
+    CHECK(contains(entry.ask(request("/once/", "r1")), "503"));
     CHECK(target.requests().empty());
 }
 
@@ -146,7 +146,7 @@
     serving::write_zones(other.context->evacuations.known(), message);
     serving::take_zone_words(*entry.context, serving::zones_of(message), "e");
     CHECK(entry.context->evacuations == other.context->evacuations);
-    auto& target = entry.add_target("plain", good, "a");
+    auto& target = entry.add_target("plain", complete_response, "a");
     entry.ask(request("/once/", "r1"), "evacuated");
     CHECK(target.requests().empty());
 }
@@ -156,8 +156,8 @@
 TEST_CASE("targets of a zone that was taken back are cold")
 {
     serving_fixture entry;
-    entry.add_target("events", good, "a");
-    entry.add_target("plain", good, "a");
+    entry.add_target("events", complete_response, "a");
+    entry.add_target("plain", complete_response, "a");
     evacuate(entry, {"a"}, 5);
     serving::take_zone_words(*entry.context, {{}, 9}, "source");
     const decision::cold_targets& cold = entry.context->cold;
@@ -187,6 +187,6 @@
     CHECK(target.requests().size() == 1);
     const std::string got = entry.ask(
         request("/events/", "r2", "Budget: 1000\r\n"), "targets_cold");
-    CHECK(has(got, "503"));
+    CHECK(contains(got, "503"));
     CHECK(target.requests().size() == 1);
 }
--- a/tests/support/good_answers.hpp
+++ b/tests/support/complete_responses.hpp
@@ -8,14 +8,15 @@
 {
 
 /// Whether \a text contains \a part.
-inline bool has(const std::string& text, const std::string& part)
+inline bool contains(const std::string& text, const std::string& part)
 {
     return text.find(part) != std::string::npos;
 }
 
 /// Returns a complete response with the request id of \a request, and keeps the
 /// connection open.
-inline scripted_target::reaction good(const std::string& request, std::size_t)
+inline scripted_target::reaction complete_response(const std::string& request,
+                                                   std::size_t)
 {
     const std::size_t at = request.find("Id: ") + 4;
     const std::string id = request.substr(at, request.find('\r', at) - at);
--- a/tests/support/played_entry.hpp
+++ b/tests/support/fake_entry.hpp
@@ -23,10 +23,11 @@
 
 /// A fake peer entry: records the jobs and catalogs that it is asked for, and
 /// replies to pings only.
-struct played_entry
+struct fake_entry
 {
-    explicit played_entry(asio::io_context& its_loop)
-        : loop(its_loop), acceptor(loop, {asio::ip::address_v4::loopback(), 0})
+    explicit fake_entry(asio::io_context& io_context)
+        : loop(io_context),
+          acceptor(loop, {asio::ip::address_v4::loopback(), 0})
     {
         start(loop, accept_all(loop, acceptor,
                                [this](tcp::socket socket)
@@ -45,10 +46,10 @@
         while (auto frame = co_await socket->read())
         {
             if (frame->content_case() == peer::Frame::kJob)
-                asked.push_back(frame->job().request());
+                requested_jobs.push_back(frame->job().request());
             if (frame->content_case() == peer::Frame::kWant &&
                 frame->want().catalog())
-                ++catalogs_asked;
+                ++catalog_requests;
             if (frame->content_case() != peer::Frame::kPing)
                 continue;
             peer::Frame pong;
@@ -66,8 +67,8 @@
     tcp::acceptor acceptor;
     frame_socket_ptr connection;
     std::size_t connections = 0;
-    std::vector<std::string> asked;
-    std::size_t catalogs_asked = 0;
+    std::vector<std::string> requested_jobs;
+    std::size_t catalog_requests = 0;
     peer::Holding holding;
 };
 
