--- a/packages/entry/pipeline_runner.cpp
+++ b/packages/entry/pipeline_runner.cpp
@@ -226,15 +226,15 @@
             submission work = make_submission(state, stage, *send);
             if (send->uses_ticket)
                 work.presented_ticket = ticket->value;
-            const auto in_flight =
+            const auto sent =
                 m_sidecars.submit(send->target, std::move(work), state.replies);
-            if (!in_flight)
+            if (!sent)
             {
                 attempts.not_sent(m_clock.now());
                 continue;
             }
             ++cost.attempts;
-            attempts.sent(in_flight->incarnation);
+            attempts.sent(sent->incarnation);
             continue;
         }
         const auto result = next_result(state, stage, attempts,
