--- a/packages/entry/dispatcher.hpp
+++ b/packages/entry/dispatcher.hpp
@@ -11,33 +11,35 @@
 namespace mangofold::entry
 {
 
-/// Names a submission that left, for its cancellation.
-struct dispatched
+/// Identifies a submission that was sent, so that it can be cancelled.
+struct sent_submission
 {
     std::string target;
-    std::uint64_t number = 0;
-    std::uint64_t incarnation = 0;
+    std::uint64_t number = 0;      ///< Unique on the link to the sidecar.
+    std::uint64_t incarnation = 0; ///< Of the target, as sent.
 };
 
-/// Hands submissions to the sidecars.
+/// The interface through which the pipeline runner reaches the sidecars. Tests
+/// replace it by a mock.
 class dispatcher
 {
 public:
     virtual ~dispatcher() = default;
 
-    /// Sends \a work to \a target. Returns nothing where it did not leave;
-    /// otherwise exactly one mail about it arrives in \a replies, unless it
-    /// is withdrawn before.
-    virtual std::optional<dispatched>
+    /// Sends \a work to the sidecar of \a target. Returns nothing if it could
+    /// not be sent; otherwise exactly one message about it arrives in
+    /// \a replies, unless it is cancelled first.
+    virtual std::optional<sent_submission>
     submit(const std::string& target, decision::submission work,
            const std::shared_ptr<mailbox>& replies) = 0;
 
-    /// Says that nobody waits for \a sent any more.
-    virtual void withdraw(const dispatched& sent) = 0;
+    /// Cancels \a sent: its result is no longer awaited.
+    virtual void cancel(const sent_submission& sent) = 0;
 
-    /// Asks \a target for a ticket. Returns whether the wish left.
-    virtual bool mint(const std::string& target,
-                      const std::shared_ptr<mailbox>& replies) = 0;
+    /// Asks the sidecar of \a target for a ticket, which arrives in
+    /// \a replies. Returns whether the request was sent.
+    virtual bool request_ticket(const std::string& target,
+                                const std::shared_ptr<mailbox>& replies) = 0;
 };
 
 } // namespace mangofold::entry
--- a/packages/entry/sidecar_stream.hpp
+++ b/packages/entry/sidecar_stream.hpp
@@ -11,7 +11,7 @@
 namespace mangofold::entry
 {
 
-/// The entry's end of the stream to one sidecar.
+/// The client side of the bidirectional gRPC stream from an entry to a sidecar.
 class sidecar_stream
     : public wire::batch_stream<
           grpc::ClientBidiReactor<wire::EntryBatch, wire::SidecarBatch>,
@@ -19,10 +19,10 @@
       public std::enable_shared_from_this<sidecar_stream>
 {
 public:
-    using receiver = std::function<void(const wire::SidecarMessage&)>;
-    using closer = std::function<void()>;
+    using message_handler = std::function<void(const wire::SidecarMessage&)>;
+    using close_handler = std::function<void()>;
 
-    sidecar_stream(receiver on_message, closer on_closed)
+    sidecar_stream(message_handler on_message, close_handler on_closed)
         : m_on_message(std::move(on_message)), m_on_closed(std::move(on_closed))
     {
     }
@@ -30,8 +30,8 @@
     /// Opens the stream to the sidecar at \a address.
     void open(const std::string& address);
 
-    /// Ends the stream from this side.
-    void end();
+    /// Cancels the stream from the side of the entry.
+    void cancel();
 
     void OnDone(const grpc::Status&) override { m_self.reset(); }
 
@@ -44,11 +44,12 @@
     void closed() override;
 
 private:
-    receiver m_on_message;
-    closer m_on_closed;
+    message_handler m_on_message;
+    close_handler m_on_closed;
     std::unique_ptr<wire::Link::Stub> m_stub;
     grpc::ClientContext m_context;
-    std::shared_ptr<sidecar_stream> m_self; ///< Until the stream is done.
+    std::shared_ptr<sidecar_stream>
+        m_self; ///< Keeps the stream alive until OnDone().
 };
 
 } // namespace mangofold::entry
