--- a/packages/sidecar/entry_stream.cpp
+++ b/packages/sidecar/entry_stream.cpp
@@ -11,7 +11,7 @@
     start_reading();
 }
 
-void entry_stream::send_stamped(wire::SidecarMessage message)
+void entry_stream::send_with_generation(wire::SidecarMessage message)
 {
     message.set_generation(m_owner.m_store.generation());
     send(std::move(message));
@@ -19,25 +19,25 @@
 
 void entry_stream::received(const wire::EntryMessage& message)
 {
-    generation_heard(message.generation());
+    request_newer_manifest(message.generation());
     switch (message.kind_case())
     {
     case wire::EntryMessage::kHello:
-        return m_owner.stream_named(*this, message.hello().entry_id());
+        return m_owner.identify_stream(*this, message.hello().entry_id());
     case wire::EntryMessage::kSubmit:
-        return submitted(message.submit(), message.generation());
+        return handle_submit(message.submit(), message.generation());
     case wire::EntryMessage::kCancel:
-        return m_owner.m_keeper.cancel({m_link, message.cancel().number()});
+        return m_owner.m_admission.cancel({m_link, message.cancel().number()});
     case wire::EntryMessage::kMint:
-        return mint_wanted(message.mint());
+        return handle_mint(message.mint());
     case wire::EntryMessage::kConfigWanted:
-        return config_wanted();
+        return send_manifest();
     case wire::EntryMessage::kConfig:
         m_owner.m_store.offer(message.config().body(),
                               configuration::source::peer);
         return;
     case wire::EntryMessage::kLeaving:
-        if (m_owner.m_keeper.note_leaving())
+        if (m_owner.m_admission.note_leaving())
             m_owner.renew_grants();
         return;
     case wire::EntryMessage::KIND_NOT_SET:
@@ -45,37 +45,37 @@
     }
 }
 
-void entry_stream::submitted(const wire::Submit& message,
-                             std::uint64_t generation)
+void entry_stream::handle_submit(const wire::Submit& message,
+                                 std::uint64_t generation)
 {
-    m_owner.m_keeper.submit(wire::from_wire(message, m_link, generation));
+    m_owner.m_admission.submit(wire::from_wire(message, m_link, generation));
 }
 
-void entry_stream::generation_heard(std::uint64_t generation)
+void entry_stream::request_newer_manifest(std::uint64_t generation)
 {
     if (generation <= m_owner.m_store.generation())
         return;
     wire::SidecarMessage message;
     message.mutable_config_wanted();
-    send_stamped(std::move(message));
+    send_with_generation(std::move(message));
 }
 
-void entry_stream::config_wanted()
+void entry_stream::send_manifest()
 {
     const configuration::snapshot_ptr current = m_owner.m_store.current();
     if (!current)
         return;
     wire::SidecarMessage message;
     message.mutable_config()->set_body(current->body);
-    send_stamped(std::move(message));
+    send_with_generation(std::move(message));
 }
 
-void entry_stream::mint_wanted(const wire::Mint& message)
+void entry_stream::handle_mint(const wire::Mint& message)
 {
     wire::SidecarMessage reply;
     wire::Minted& minted = *reply.mutable_minted();
     minted.set_number(message.number());
-    const auto ticket = m_owner.m_keeper.mint_ticket();
+    const auto ticket = m_owner.m_admission.mint_ticket();
     minted.set_refused(!ticket.has_value());
     if (ticket)
     {
@@ -83,12 +83,12 @@
         minted.mutable_ticket()->set_incarnation(ticket->incarnation);
         minted.mutable_ticket()->set_serial(ticket->serial);
     }
-    send_stamped(std::move(reply));
+    send_with_generation(std::move(reply));
 }
 
 void entry_stream::closed()
 {
-    m_owner.stream_closed(*this);
+    m_owner.remove_stream(*this);
     Finish(grpc::Status::OK);
 }
 
--- a/packages/sidecar/entry_stream.hpp
+++ b/packages/sidecar/entry_stream.hpp
@@ -10,7 +10,9 @@
 namespace mangofold::sidecar
 {
 
-/// The sidecar's end of the stream of one entry.
+/// The server side of the bidirectional gRPC stream between an entry and this
+/// sidecar. Passes the entry's messages to the admission control and the
+/// configuration store.
 class entry_stream
     : public wire::batch_stream<
           grpc::ServerBidiReactor<wire::EntryBatch, wire::SidecarBatch>,
@@ -23,21 +25,21 @@
     {
     }
 
-    /// Begins to read. Called once the server knows the stream.
+    /// Starts reading. Called after the server has registered the stream.
     void open();
 
-    /// Ends the stream from this side.
+    /// Closes the stream from the side of the sidecar.
     void end() { close(); }
 
     decision::link_id link() const { return m_link; }
-    const std::string& entry() const { return m_entry; }
-    void set_entry(const std::string& entry) { m_entry = entry; }
+    const std::string& entry_id() const { return m_entry_id; }
+    void set_entry_id(const std::string& id) { m_entry_id = id; }
 
-    /// Whether the entry has said who it is.
-    bool is_named() const { return !m_entry.empty(); }
+    /// Whether the entry has sent its ID in a Hello message.
+    bool is_identified() const { return !m_entry_id.empty(); }
 
-    /// Sends \a message with the generation in force.
-    void send_stamped(wire::SidecarMessage message);
+    /// Sends \a message with the generation of the manifest in force.
+    void send_with_generation(wire::SidecarMessage message);
 
     void OnDone() override { m_self.reset(); }
 
@@ -46,15 +48,16 @@
     void closed() override;
 
 private:
-    void submitted(const wire::Submit& message, std::uint64_t generation);
-    void generation_heard(std::uint64_t generation);
-    void config_wanted();
-    void mint_wanted(const wire::Mint& message);
+    void handle_submit(const wire::Submit& message, std::uint64_t generation);
+    void request_newer_manifest(std::uint64_t generation);
+    void send_manifest();
+    void handle_mint(const wire::Mint& message);
 
     link_server& m_owner;
     decision::link_id m_link;
-    std::string m_entry;
-    std::shared_ptr<entry_stream> m_self; ///< Until the stream is done.
+    std::string m_entry_id;
+    std::shared_ptr<entry_stream>
+        m_self; ///< Keeps the stream alive until OnDone().
 };
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/gate_keeper.cpp
+++ b/packages/sidecar/gate_keeper.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// Calls a visitor made of several functions.
+// Combines several functions into one visitor.
 template<typename... Functions>
 struct overloaded : Functions...
 {
@@ -26,8 +26,9 @@
 } // namespace
 
 gate_keeper::gate_keeper(gate::identity self, gate::bounds limits,
-                         const runtime::clock& time, runtime::metrics& counters)
-    : m_target(self.target), m_clock(time), m_metrics(counters),
+                         const runtime::clock& clock,
+                         runtime::metrics& counters)
+    : m_target(self.target), m_clock(clock), m_metrics(counters),
       m_gate(std::move(self), limits)
 {
 }
@@ -35,31 +36,31 @@
 void gate_keeper::set_ports(result_sink& results, target_port& target)
 {
     m_results = &results;
-    m_port = &target;
+    m_executor = &target;
 }
 
-void gate_keeper::configure(const configuration::snapshot_ptr& value)
+void gate_keeper::configure(const configuration::snapshot_ptr& snapshot)
 {
-    const manifest::document& document = value->document;
+    const manifest::document& document = snapshot->document;
     for (const manifest::pool& pool : document.pools)
     {
-        const auto is_own = [&](const manifest::target& one)
-        { return one.id == m_target; };
+        const auto is_own = [&](const manifest::target& target)
+        { return target.id == m_target; };
         if (std::none_of(pool.targets.begin(), pool.targets.end(), is_own))
             continue;
-        gate_configuration part;
-        part.generation = document.generation;
-        for (const manifest::target& one : pool.targets)
-            part.pool_targets.push_back(one.id);
-        part.slots = pool.slots;
-        part.shares = pool.shares;
-        part.start_horizon = document.start_horizon();
-        part.adoption_bound = manifest::adoption_bound;
+        gate_configuration gate_config;
+        gate_config.generation = document.generation;
+        for (const manifest::target& target : pool.targets)
+            gate_config.pool_targets.push_back(target.id);
+        gate_config.slots = pool.slots;
+        gate_config.shares = pool.shares;
+        gate_config.start_horizon = document.start_horizon();
+        gate_config.adoption_bound = manifest::adoption_bound;
         const std::lock_guard lock(m_mutex);
-        carry_out(m_gate.set_configuration(part, m_clock.now()));
+        apply(m_gate.set_configuration(gate_config, m_clock.now()));
         return;
     }
-    // A target that the manifest no longer names is leaving.
+    // A target that the manifest no longer lists is leaving.
     set_stopping();
 }
 
@@ -80,47 +81,48 @@
 void gate_keeper::submit(const submission& work)
 {
     const std::lock_guard lock(m_mutex);
-    carry_out(m_gate.submit(work, m_clock.now()));
+    apply(m_gate.submit(work, m_clock.now()));
 }
 
 void gate_keeper::cancel(const submission_ref& ref)
 {
     const std::lock_guard lock(m_mutex);
-    carry_out(m_gate.cancel(ref, m_clock.now()));
+    apply(m_gate.cancel(ref, m_clock.now()));
 }
 
 void gate_keeper::close_link(link_id link)
 {
     const std::lock_guard lock(m_mutex);
-    carry_out(m_gate.close_link(link, m_clock.now()));
+    apply(m_gate.close_link(link, m_clock.now()));
 }
 
 void gate_keeper::finish(run_id run, const stage_result& result)
 {
     const std::lock_guard lock(m_mutex);
-    carry_out(m_gate.finish(run, result, m_clock.now()));
+    apply(m_gate.finish(run, result, m_clock.now()));
 }
 
 void gate_keeper::advance()
 {
     const std::lock_guard lock(m_mutex);
-    carry_out(m_gate.advance(m_clock.now()));
+    apply(m_gate.advance(m_clock.now()));
 }
 
-// Runs that were lost together, or sent before the end was noticed, were lost
-// to one end.
-void gate_keeper::note_target_lost(const start_run& run, instant began)
+// Runs that started before the latest crash was noticed are attributed to that
+// crash, so that runs lost together count as one crash.
+void gate_keeper::note_target_lost(const start_run& run, instant started_at)
 {
     const std::lock_guard lock(m_mutex);
     const instant now = m_clock.now();
     if (m_gate.is_leaving(now))
         return;
-    if (m_target_ends == 0 || began >= m_target_ended_at)
+    if (m_target_crashes == 0 || started_at >= m_last_crash_at)
     {
-        ++m_target_ends;
-        m_target_ended_at = now;
+        ++m_target_crashes;
+        m_last_crash_at = now;
     }
-    const target_start target{m_target, m_gate.incarnation() + m_target_ends};
+    const target_start target{m_target,
+                              m_gate.incarnation() + m_target_crashes};
     const digest content = stage_content_digest(run.key, run.request_digest);
     runtime::event("run_lost")
         .with("request", run.key.request_id)
@@ -128,26 +130,26 @@
         .with("content", to_text(content))
         .with("target", m_target)
         .warn();
-    m_results->tell_end({content, target, began, now});
+    m_results->tell_end({content, target, started_at, now});
 }
 
 void gate_keeper::set_stopping()
 {
     const std::lock_guard lock(m_mutex);
-    carry_out(m_gate.set_stopping(m_clock.now()));
+    apply(m_gate.set_stopping(m_clock.now()));
 }
 
 bool gate_keeper::note_leaving()
 {
-    // Longer than the time between two marks of any entry.
+    // Longer than the interval at which any entry repeats the notice.
     constexpr duration leaving_lease = std::chrono::seconds(5);
     const std::lock_guard lock(m_mutex);
     const instant now = m_clock.now();
-    const bool is_news = !m_gate.is_leaving(now);
-    carry_out(m_gate.set_leaving(now, now + leaving_lease));
-    if (is_news)
+    const bool is_change = !m_gate.is_leaving(now);
+    apply(m_gate.set_leaving(now, now + leaving_lease));
+    if (is_change)
         runtime::event("target_leaving").with("target", m_target).info();
-    return is_news;
+    return is_change;
 }
 
 bool gate_keeper::is_leaving() const
@@ -186,25 +188,26 @@
     return m_gate.ledger_size();
 }
 
-// The effects leave under the lock, so that they arrive in the order in
-// which they were decided. Neither port blocks.
-void gate_keeper::carry_out(const gate_effects& effects)
+// Effects are applied under the lock, so that the receivers get them in the
+// order in which the gate decided them. Neither receiver blocks.
+void gate_keeper::apply(const gate_effects& effects)
 {
     for (const gate_effect& effect : effects)
     {
-        std::visit(overloaded{[&](const start_run& run) { m_port->start(run); },
+        std::visit(overloaded{[&](const start_run& run)
+                              { m_executor->start(run); },
                               [&](const send_result& result)
                               {
-                                  count(result);
+                                  count_result(result);
                                   m_results->send(result, m_gate.load());
                               },
                               [&](const cancel_run& run)
-                              { m_port->cancel(run.run); }},
+                              { m_executor->cancel(run.run); }},
                    effect);
     }
 }
 
-void gate_keeper::count(const send_result& sent)
+void gate_keeper::count_result(const send_result& sent)
 {
     const stage_result& result = sent.result;
     ++m_metrics.count(
--- a/packages/sidecar/gate_keeper.hpp
+++ b/packages/sidecar/gate_keeper.hpp
@@ -15,47 +15,67 @@
 namespace mangofold::sidecar
 {
 
-/// What a grant message says.
+/// The contents of a Grant message to an entry.
 struct grant_notice
 {
-    decision::grant_ref grant; ///< Serial 0 where none is given.
+    decision::grant_ref grant; ///< Serial 0 if no grant was issued.
     bool is_leaving = false;
     decision::target_load load;
 };
 
-/// Guards the target's gate with a lock and carries its effects out.
+/// Thread-safe admission control of the target. Wraps the gate, which decides
+/// and does no I/O, in a lock and applies the effects that it returns: runs go
+/// to the target, results to the entries.
 class gate_keeper
 {
 public:
     using gate = decision::target_gate<decision::adaptive_limit>;
 
     gate_keeper(gate::identity self, gate::bounds limits,
-                const runtime::clock& time, runtime::metrics& counters);
+                const runtime::clock& clock, runtime::metrics& counters);
 
-    /// Sets where effects go. To be called before anything else.
+    /// Sets the receivers of the effects. Must be called before any other
+    /// method.
     void set_ports(result_sink& results, target_port& target);
 
-    /// Puts the part of a manifest that concerns this target in force.
-    void configure(const configuration::snapshot_ptr& value);
+    /// Applies the pool of this target in \a snapshot. Stops new work
+    /// permanently if no pool contains the target.
+    void configure(const configuration::snapshot_ptr& snapshot);
 
+    /// Returns a new grant for \a link, with the load of the target.
     grant_notice renew_grant(decision::link_id link);
+    /// Returns a ticket, or nothing if the target is leaving or not
+    /// configured.
     std::optional<decision::ticket> mint_ticket();
+
+    /// Admits, answers or refuses \a work.
     void submit(const decision::submission& work);
+
+    /// Withdraws a submission for which the entry no longer waits.
     void cancel(const decision::submission_ref& ref);
+
+    /// Withdraws the submissions and revokes the grants of a closed stream.
     void close_link(decision::link_id link);
+
+    /// Handles the end of a run.
     void finish(decision::run_id run, const decision::stage_result& result);
+
+    /// Refuses expired queued work and drops outdated outcomes. Must be called
+    /// periodically.
     void advance();
 
-    /// Notes that the target ended, or was lost, under \a run, which was sent
-    /// to it at \a began.
+    /// Reports to all entries that the target crashed, or its connection was
+    /// lost, during \a run, which was sent to the target at \a started_at. A
+    /// leaving target is not reported.
     void note_target_lost(const decision::start_run& run,
-                          decision::instant began);
+                          decision::instant started_at);
 
-    /// Stops new work for good.
+    /// Stops new work permanently.
     void set_stopping();
 
-    /// Stops new work for as long as the mark is repeated. Returns whether
-    /// that is news.
+    /// Stops new work for a few seconds because the platform lists the target
+    /// as leaving; entries repeat the notice. Returns whether the target was
+    /// not leaving before.
     bool note_leaving();
 
     decision::instant now() const { return m_clock.now(); }
@@ -68,18 +88,18 @@
     const std::string& target() const { return m_target; }
 
 private:
-    void carry_out(const decision::gate_effects& effects);
-    void count(const decision::send_result& result);
+    void apply(const decision::gate_effects& effects);
+    void count_result(const decision::send_result& sent);
 
     std::string m_target;
     const runtime::clock& m_clock;
     runtime::metrics& m_metrics;
     result_sink* m_results = nullptr;
-    target_port* m_port = nullptr;
+    target_port* m_executor = nullptr;
     mutable std::mutex m_mutex;
     gate m_gate;
-    std::uint64_t m_target_ends = 0;
-    decision::instant m_target_ended_at{};
+    std::uint64_t m_target_crashes = 0;
+    decision::instant m_last_crash_at{};
 };
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/link_server.cpp
+++ b/packages/sidecar/link_server.cpp
@@ -45,11 +45,11 @@
 };
 
 link_server::link_server(runtime::address listen, std::string target,
-                         gate_keeper& keeper,
+                         gate_keeper& admission,
                          configuration::config_store& store,
                          runtime::metrics& counters)
     : m_listen(std::move(listen)), m_target(std::move(target)),
-      m_keeper(keeper), m_store(store), m_metrics(counters)
+      m_admission(admission), m_store(store), m_metrics(counters)
 {
 }
 
@@ -78,13 +78,13 @@
 {
     if (!m_service)
         return;
-    std::vector<stream_ptr> open;
+    std::vector<stream_ptr> streams;
     {
         const std::lock_guard lock(m_mutex);
         for (const auto& [link, stream] : m_streams)
-            open.push_back(stream);
+            streams.push_back(stream);
     }
-    for (const stream_ptr& stream : open)
+    for (const stream_ptr& stream : streams)
         stream->end();
     m_service->shut_down();
     m_service.reset();
@@ -99,44 +99,46 @@
     return stream;
 }
 
-// The older stream of the same entry may still hold submissions that the
-// entry has written off and sent again on this one. Ending it first, and
-// with it its grants, lets a refusal on the new stream speak for both.
-void link_server::stream_named(entry_stream& stream, const std::string& entry)
+// The previous stream of the same entry may still hold submissions that the
+// entry has abandoned and sent again on the new stream. Closing the previous
+// stream first revokes its grants, so a refusal on the new stream also means
+// that no earlier submission can start.
+void link_server::identify_stream(entry_stream& stream,
+                                  const std::string& entry_id)
 {
-    stream_ptr older;
-    std::deque<decision::target_crash> ends;
+    stream_ptr previous;
+    std::deque<decision::target_crash> crashes;
     {
         const std::lock_guard lock(m_mutex);
-        const auto known = m_by_entry.find(entry);
-        if (known != m_by_entry.end())
+        const auto known = m_links_by_entry.find(entry_id);
+        if (known != m_links_by_entry.end())
         {
             const auto found = m_streams.find(known->second);
             if (found != m_streams.end())
-                older = found->second;
+                previous = found->second;
         }
-        m_by_entry[entry] = stream.link();
-        stream.set_entry(entry);
-        ends = m_ends;
+        m_links_by_entry[entry_id] = stream.link();
+        stream.set_entry_id(entry_id);
+        crashes = m_crashes;
     }
-    if (older && older.get() != &stream)
-        older->end();
-    // What ended the target before is new to an entry that has just started.
-    for (const decision::target_crash& one : ends)
-        send_end(stream, one, m_keeper.now());
+    if (previous && previous.get() != &stream)
+        previous->end();
+    // An entry that has just started does not know the earlier crashes.
+    for (const decision::target_crash& crash : crashes)
+        send_crash(stream, crash, m_admission.now());
     send_grant(stream);
 }
 
-void link_server::stream_closed(entry_stream& stream)
+void link_server::remove_stream(entry_stream& stream)
 {
     {
         const std::lock_guard lock(m_mutex);
         m_streams.erase(stream.link());
-        const auto known = m_by_entry.find(stream.entry());
-        if (known != m_by_entry.end() && known->second == stream.link())
-            m_by_entry.erase(known);
+        const auto known = m_links_by_entry.find(stream.entry_id());
+        if (known != m_links_by_entry.end() && known->second == stream.link())
+            m_links_by_entry.erase(known);
     }
-    m_keeper.close_link(stream.link());
+    m_admission.close_link(stream.link());
 }
 
 void link_server::send(const decision::send_result& result,
@@ -158,49 +160,49 @@
     body.set_stage(result.key.stage);
     body.set_attempt(result.attempt);
     *body.mutable_load() = wire::to_wire(load);
-    stream->send_stamped(std::move(message));
+    stream->send_with_generation(std::move(message));
 }
 
-void link_server::tell_end(const decision::target_crash& one)
+void link_server::tell_end(const decision::target_crash& crash)
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_ends.push_back(one);
-        if (m_ends.size() > most_ends)
-            m_ends.pop_front();
+        m_crashes.push_back(crash);
+        if (m_crashes.size() > max_crashes)
+            m_crashes.pop_front();
     }
-    for (const stream_ptr& stream : named_streams())
-        send_end(*stream, one, m_keeper.now());
+    for (const stream_ptr& stream : identified_streams())
+        send_crash(*stream, crash, m_admission.now());
 }
 
-void link_server::send_end(entry_stream& stream,
-                           const decision::target_crash& one,
-                           decision::instant now)
+void link_server::send_crash(entry_stream& stream,
+                             const decision::target_crash& crash,
+                             decision::instant now)
 {
     wire::SidecarMessage message;
-    wire::to_wire(one, now, *message.mutable_target_lost());
-    stream.send_stamped(std::move(message));
+    wire::to_wire(crash, now, *message.mutable_target_lost());
+    stream.send_with_generation(std::move(message));
 }
 
-std::vector<link_server::stream_ptr> link_server::named_streams() const
+std::vector<link_server::stream_ptr> link_server::identified_streams() const
 {
-    std::vector<stream_ptr> open;
+    std::vector<stream_ptr> identified;
     const std::lock_guard lock(m_mutex);
     for (const auto& [link, stream] : m_streams)
-        if (stream->is_named())
-            open.push_back(stream);
-    return open;
+        if (stream->is_identified())
+            identified.push_back(stream);
+    return identified;
 }
 
 void link_server::renew_grants()
 {
-    for (const stream_ptr& stream : named_streams())
+    for (const stream_ptr& stream : identified_streams())
         send_grant(*stream);
 }
 
 void link_server::send_grant(entry_stream& stream)
 {
-    const grant_notice notice = m_keeper.renew_grant(stream.link());
+    const grant_notice notice = m_admission.renew_grant(stream.link());
     wire::SidecarMessage message;
     wire::Grant& grant = *message.mutable_grant();
     grant.set_incarnation(notice.grant.incarnation);
@@ -209,27 +211,27 @@
     grant.set_target_id(m_target);
     grant.set_entry_count(static_cast<std::uint32_t>(link_count()));
     *grant.mutable_load() = wire::to_wire(notice.load);
-    stream.send_stamped(std::move(message));
+    stream.send_with_generation(std::move(message));
 }
 
 void link_server::announce_generation()
 {
-    std::vector<stream_ptr> open;
+    std::vector<stream_ptr> streams;
     {
         const std::lock_guard lock(m_mutex);
         for (const auto& [link, stream] : m_streams)
-            open.push_back(stream);
+            streams.push_back(stream);
     }
-    for (const stream_ptr& stream : open)
-        stream->send_stamped({});
+    for (const stream_ptr& stream : streams)
+        stream->send_with_generation({});
 }
 
 bool link_server::is_flushed() const
 {
     const std::lock_guard lock(m_mutex);
     return std::all_of(m_streams.begin(), m_streams.end(),
-                       [](const auto& one)
-                       { return one.second->is_flushed(); });
+                       [](const auto& link_and_stream)
+                       { return link_and_stream.second->is_flushed(); });
 }
 
 std::size_t link_server::link_count() const
--- a/packages/sidecar/link_server.hpp
+++ b/packages/sidecar/link_server.hpp
@@ -17,12 +17,13 @@
 
 class entry_stream;
 
-/// Serves the streams of the entries.
+/// gRPC server for the streams of the entries. Sends grants, results, target
+/// crashes and the generation of the manifest to the entries.
 class link_server : public runtime::child, public result_sink
 {
 public:
     link_server(runtime::address listen, std::string target,
-                gate_keeper& keeper, configuration::config_store& store,
+                gate_keeper& admission, configuration::config_store& store,
                 runtime::metrics& counters);
     ~link_server() override;
 
@@ -31,19 +32,20 @@
     void stop() noexcept override;
     bool has_failed() const override { return false; }
 
-    void tell_end(const decision::target_crash& one) override;
+    void tell_end(const decision::target_crash& crash) override;
     void send(const decision::send_result& result,
               const decision::target_load& load) override;
 
-    /// Sends a fresh grant, with the load, to every entry.
+    /// Sends a new grant, with the load of the target, to every entry.
     void renew_grants();
 
-    /// Tells every entry the generation in force.
+    /// Sends the generation of the manifest in force to every entry.
     void announce_generation();
 
+    /// Returns the number of open streams.
     std::size_t link_count() const;
 
-    /// Whether every result sent so far left.
+    /// Whether all results sent so far were passed to the network.
     bool is_flushed() const;
 
 private:
@@ -53,29 +55,29 @@
     using stream_ptr = std::shared_ptr<entry_stream>;
 
     stream_ptr open_stream();
-    void stream_named(entry_stream& stream, const std::string& entry);
-    void stream_closed(entry_stream& stream);
-    std::vector<std::shared_ptr<entry_stream>> named_streams() const;
-    static void send_end(entry_stream& stream,
-                         const decision::target_crash& one,
-                         decision::instant now);
+    void identify_stream(entry_stream& stream, const std::string& entry_id);
+    void remove_stream(entry_stream& stream);
+    std::vector<std::shared_ptr<entry_stream>> identified_streams() const;
+    static void send_crash(entry_stream& stream,
+                           const decision::target_crash& crash,
+                           decision::instant now);
     void send_grant(entry_stream& stream);
 
     std::string m_name = "link_server";
     runtime::address m_listen;
     std::string m_target;
-    /// Ends remembered for entries to come.
-    static constexpr std::size_t most_ends = 256;
+    /// Target crashes stored for entries that connect later.
+    static constexpr std::size_t max_crashes = 256;
 
-    gate_keeper& m_keeper;
+    gate_keeper& m_admission;
     configuration::config_store& m_store;
     runtime::metrics& m_metrics;
     std::unique_ptr<service> m_service;
     mutable std::mutex m_mutex;
     std::map<decision::link_id, stream_ptr> m_streams;
-    std::map<std::string, decision::link_id> m_by_entry;
+    std::map<std::string, decision::link_id> m_links_by_entry;
     decision::link_id m_next_link = 1;
-    std::deque<decision::target_crash> m_ends;
+    std::deque<decision::target_crash> m_crashes;
 };
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/main.cpp
+++ b/packages/sidecar/main.cpp
@@ -9,7 +9,7 @@
 int main(int argc, char** argv)
 {
     runtime::settings flags(
-        "mangofold-sidecar: takes the work of one target in");
+        "mangofold-sidecar: controls the admission of work to one target");
     sidecar::add_flags(flags);
     sidecar::sidecar_settings values;
     try
@@ -19,14 +19,14 @@
             return runtime::exit_ok;
         values = sidecar::checked(flags);
         if (!runtime::start_log("sidecar", values.target_id, values.log_level))
-            throw runtime::settings_error("--log-level is not known");
+            throw runtime::settings_error("--log-level has an unknown value");
     }
-    catch (const runtime::settings_error& fault)
+    catch (const runtime::settings_error& error)
     {
-        std::cerr << "mangofold-sidecar: " << fault.what() << "\nTry --help.\n";
+        std::cerr << "mangofold-sidecar: " << error.what() << "\nTry --help.\n";
         return runtime::exit_bad_settings;
     }
-    const runtime::system_clock time;
+    const runtime::system_clock clock;
     return runtime::run_until_signalled(
-        [&] { return std::make_unique<sidecar::sidecar>(values, time); });
+        [&] { return std::make_unique<sidecar::sidecar>(values, clock); });
 }
--- a/packages/sidecar/result_sink.hpp
+++ b/packages/sidecar/result_sink.hpp
@@ -6,18 +6,19 @@
 namespace mangofold::sidecar
 {
 
-/// Takes results to the entries that wait for them.
+/// Sends the results of submissions, and target crashes, to the entries.
 class result_sink
 {
 public:
     virtual ~result_sink() = default;
 
-    /// \a load is that of the target at this moment.
+    /// Sends \a result, with the current \a load of the target, to the entry
+    /// that waits for it. Must not block.
     virtual void send(const decision::send_result& result,
                       const decision::target_load& load) = 0;
 
-    /// Tells all entries that the target ended under a run.
-    virtual void tell_end(const decision::target_crash& one) = 0;
+    /// Reports to all entries that the target crashed during a run.
+    virtual void tell_end(const decision::target_crash& crash) = 0;
 };
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/sidecar.hpp
+++ b/packages/sidecar/sidecar.hpp
@@ -14,36 +14,40 @@
 namespace mangofold::sidecar
 {
 
-/// The supervisor tree of a sidecar.
+/// A sidecar process: accepts submissions from the entries and passes those
+/// that it admits to its target.
+///
+/// Owns all components and runs their threads under a supervisor.
 class sidecar
 {
 public:
-    sidecar(sidecar_settings values, const runtime::clock& time);
+    sidecar(sidecar_settings values, const runtime::clock& clock);
     ~sidecar();
 
-    /// Starts every part.
+    /// Starts all components.
     void start();
 
-    /// Restarts parts that failed. To be called often.
-    void check() { m_tree.check(); }
+    /// Restarts components that failed. Must be called periodically.
+    void check() { m_supervisor.check(); }
 
-    /// Stops new work, waits for what is in progress, and stops every part.
+    /// Refuses new work, waits for work in progress up to the drain timeout,
+    /// and stops all components.
     void stop();
 
 private:
-    void add_parts();
-    std::unique_ptr<runtime::http_server> admin_server();
+    void add_children();
+    std::unique_ptr<runtime::http_server> make_admin_server();
     runtime::http_reply status() const;
 
     sidecar_settings m_settings;
     const runtime::clock& m_clock;
     runtime::metrics m_metrics;
     configuration::config_store m_store;
-    gate_keeper m_keeper;
+    gate_keeper m_admission;
     target_caller* m_caller = nullptr;
     link_server* m_links = nullptr;
-    configuration::platform_reader m_platform;
-    runtime::supervisor m_tree;
+    configuration::platform_reader m_platform_reader;
+    runtime::supervisor m_supervisor;
 };
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/sidecar_settings.cpp
+++ b/packages/sidecar/sidecar_settings.cpp
@@ -10,32 +10,32 @@
 void add_flags(runtime::settings& flags)
 {
     const sidecar_settings defaults;
-    const auto number = [](unsigned otherwise)
-    { return po::value<unsigned>()->default_value(otherwise); };
+    const auto number = [](unsigned default_value)
+    { return po::value<unsigned>()->default_value(default_value); };
     auto add = flags.known().add_options();
     add("help", "print this text");
     add("version", "print the version");
     add("target-id", po::value<std::string>(),
-        "id of the target, as in the manifest");
+        "ID of the target in the manifest");
     add("zone", po::value<std::string>(), "availability zone");
-    add("listen", po::value<std::string>(), "IP:port for the entries");
+    add("listen", po::value<std::string>(), "IP:port for entries");
     add("admin", po::value<std::string>(),
         "IP:port for /metrics, /healthz, /readyz and /status");
     add("target", po::value<std::string>(), "IP:port of the target");
     add("platform", po::value<std::string>(),
         "IP:port of the configuration service and instance list");
     add("target-threads", number(defaults.target_threads),
-        "calls to the target at once (1-512)");
+        "maximum concurrent calls to the target (1-512)");
     add("grant-interval-ms", number(defaults.grant_interval_ms),
-        "time between two grants to an entry (50-1000)");
+        "interval between grants to an entry (50-1000)");
     add("poll-interval-ms", number(defaults.poll_interval_ms),
-        "time between two reads of the manifest (100-3600000)");
+        "interval between reads of the manifest (100-3600000)");
     add("ledger-keys", number(defaults.ledger_keys),
-        "calls that may not be repeated, remembered at most (1-10000000)");
+        "maximum number of remembered non-repeatable calls (1-10000000)");
     add("ledger-bytes", number(defaults.ledger_bytes),
-        "bytes of remembered outcomes at most (1024-1073741824)");
+        "maximum bytes of stored outcomes (1024-1073741824)");
     add("drain-ms", number(defaults.drain_ms),
-        "longest wait for work in progress at a stop (0-600000)");
+        "maximum wait for work in progress at shutdown (0-600000)");
     add("log-level", po::value<std::string>()->default_value("info"),
         "trace, debug, info, warning, error or off");
 }
--- a/packages/sidecar/sidecar_settings.hpp
+++ b/packages/sidecar/sidecar_settings.hpp
@@ -8,7 +8,7 @@
 namespace mangofold::sidecar
 {
 
-/// The checked settings of a sidecar.
+/// The validated settings of a sidecar.
 struct sidecar_settings
 {
     std::string target_id;
@@ -29,10 +29,11 @@
                            const sidecar_settings&) = default;
 };
 
-/// Adds the sidecar's flags to \a flags.
+/// Declares the command-line flags of a sidecar in \a flags.
 void add_flags(runtime::settings& flags);
 
-/// Returns the settings in \a flags. Throws runtime::settings_error.
+/// Returns the settings in \a flags. Throws runtime::settings_error if one is
+/// missing or out of bounds.
 sidecar_settings checked(const runtime::settings& flags);
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/target_caller.cpp
+++ b/packages/sidecar/target_caller.cpp
@@ -9,10 +9,11 @@
 using namespace decision;
 
 target_caller::target_caller(runtime::address target, unsigned threads,
-                             gate_keeper& keeper, const runtime::clock& time,
+                             gate_keeper& admission,
+                             const runtime::clock& clock,
                              runtime::metrics& counters)
-    : m_target(std::move(target)), m_thread_count(threads), m_keeper(keeper),
-      m_clock(time), m_metrics(counters)
+    : m_target(std::move(target)), m_thread_count(threads),
+      m_admission(admission), m_clock(clock), m_metrics(counters)
 {
 }
 
@@ -25,7 +26,7 @@
 {
     m_is_stopping = false;
     for (unsigned index = 0; index < m_thread_count; ++index)
-        m_threads.emplace_back([this] { work(); });
+        m_threads.emplace_back([this] { run_worker(); });
 }
 
 void target_caller::stop() noexcept
@@ -34,9 +35,9 @@
         const std::lock_guard lock(m_mutex);
         m_is_stopping = true;
     }
-    m_changed.notify_all();
-    for (std::thread& one : m_threads)
-        one.join();
+    m_jobs_changed.notify_all();
+    for (std::thread& thread : m_threads)
+        thread.join();
     m_threads.clear();
 }
 
@@ -44,8 +45,8 @@
 {
     const std::lock_guard lock(m_mutex);
     m_cancel_bodies[run.run] = cancel_message(run);
-    m_jobs.push_back(timed_run{run, m_clock.now() + run.budget});
-    m_changed.notify_one();
+    m_jobs.push_back(queued_run{run, m_clock.now() + run.budget});
+    m_jobs_changed.notify_one();
 }
 
 void target_caller::cancel(run_id run)
@@ -55,35 +56,36 @@
     if (found == m_cancel_bodies.end())
         return;
     m_jobs.push_front(cancel_call{found->second});
-    m_changed.notify_one();
+    m_jobs_changed.notify_one();
 }
 
-void target_caller::work()
+void target_caller::run_worker()
 {
-    runtime::http_client kept(m_target);
+    runtime::http_client keep_alive_client(m_target);
     std::unique_lock lock(m_mutex);
     while (true)
     {
-        m_changed.wait(lock,
-                       [this] { return m_is_stopping || !m_jobs.empty(); });
+        m_jobs_changed.wait(lock, [this]
+                            { return m_is_stopping || !m_jobs.empty(); });
         if (m_jobs.empty())
             return;
-        const job next = std::move(m_jobs.front());
+        const job next_job = std::move(m_jobs.front());
         m_jobs.pop_front();
         lock.unlock();
-        carry_out(next, kept);
+        execute(next_job, keep_alive_client);
         lock.lock();
     }
 }
 
-void target_caller::carry_out(const job& next, runtime::http_client& kept)
+void target_caller::execute(const job& next_job,
+                            runtime::http_client& keep_alive_client)
 {
-    if (const auto* withdrawn = std::get_if<cancel_call>(&next))
+    if (const auto* cancelled = std::get_if<cancel_call>(&next_job))
     {
         constexpr duration cancel_timeout = std::chrono::milliseconds(200);
         try
         {
-            runtime::http_client(m_target).post("/v1/cancel", withdrawn->body,
+            runtime::http_client(m_target).post("/v1/cancel", cancelled->body,
                                                 cancel_timeout);
         }
         catch (const runtime::http_error&)
@@ -92,56 +94,56 @@
         }
         return;
     }
-    const auto& timed = std::get<timed_run>(next);
-    const stage_result result = call(timed, kept);
+    const auto& queued = std::get<queued_run>(next_job);
+    const stage_result result = call_target(queued, keep_alive_client);
     {
         const std::lock_guard lock(m_mutex);
-        m_cancel_bodies.erase(timed.run.run);
+        m_cancel_bodies.erase(queued.run.run);
     }
     m_metrics.observe({"mangofold_target_seconds",
-                       runtime::label("stage", timed.run.key.stage)},
+                       runtime::label("stage", queued.run.key.stage)},
                       result.service_time);
-    m_keeper.finish(timed.run.run, result);
+    m_admission.finish(queued.run.run, result);
 }
 
-stage_result target_caller::call(const timed_run& next,
-                                 runtime::http_client& kept)
+stage_result target_caller::call_target(const queued_run& queued,
+                                        runtime::http_client& keep_alive_client)
 {
     const instant now = m_clock.now();
-    if (now >= next.expires)
+    if (now >= queued.expires)
         return refused(reason::too_late);
-    const duration left = next.expires - now;
-    if (next.run.is_repeatable)
-        return post(kept, next.run, left);
-    // A target can close a kept connection just as a call is sent, and nobody
-    // knows then whether it ran. Not so with one that was made for it.
-    runtime::http_client fresh(m_target);
-    return post(fresh, next.run, left);
+    const duration time_left = queued.expires - now;
+    if (queued.run.is_repeatable)
+        return post(keep_alive_client, queued.run, time_left);
+    // A target can close an idle keep-alive connection just as a call is sent;
+    // it is then unknown whether the call ran. A new connection avoids this.
+    runtime::http_client new_client(m_target);
+    return post(new_client, queued.run, time_left);
 }
 
 stage_result target_caller::post(runtime::http_client& client,
-                                 const start_run& run, duration left)
+                                 const start_run& run, duration time_left)
 {
-    const instant begun = m_clock.now();
+    const instant started_at = m_clock.now();
     stage_result result;
     try
     {
         const runtime::http_answer answer =
-            client.post("/v1/run", run_message(run), left);
+            client.post("/v1/run", run_message(run), time_left);
         result = read_answer(run, answer);
     }
-    catch (const runtime::http_error& fault)
+    catch (const runtime::http_error& error)
     {
-        const bool is_timeout = m_clock.now() >= begun + left;
-        if (fault.what_failed() == runtime::http_error::kind::not_connected)
+        const bool is_timeout = m_clock.now() >= started_at + time_left;
+        if (error.what_failed() == runtime::http_error::kind::not_connected)
             result = refused(reason::target_down);
         else
             result = unknown_outcome(is_timeout ? reason::target_timeout
                                                 : reason::target_failed);
         if (result.cause == reason::target_failed)
-            m_keeper.note_target_lost(run, begun);
+            m_admission.note_target_lost(run, started_at);
     }
-    result.service_time = m_clock.now() - begun;
+    result.service_time = m_clock.now() - started_at;
     return result;
 }
 
--- a/packages/sidecar/target_caller.hpp
+++ b/packages/sidecar/target_caller.hpp
@@ -24,12 +24,13 @@
 namespace mangofold::sidecar
 {
 
-/// Calls the target over HTTP, on a few threads of its own.
+/// Calls the target over HTTP from a pool of threads, and reports the results
+/// to the admission control.
 class target_caller : public runtime::child, public target_port
 {
 public:
     target_caller(runtime::address target, unsigned threads,
-                  gate_keeper& keeper, const runtime::clock& time,
+                  gate_keeper& admission, const runtime::clock& clock,
                   runtime::metrics& counters);
     ~target_caller() override;
 
@@ -42,7 +43,7 @@
     void cancel(decision::run_id run) override;
 
 private:
-    struct timed_run
+    struct queued_run
     {
         decision::start_run run;
         decision::instant expires;
@@ -53,25 +54,25 @@
         std::string body;
     };
 
-    using job = std::variant<timed_run, cancel_call>;
+    using job = std::variant<queued_run, cancel_call>;
 
-    void work();
-    void carry_out(const job& next, runtime::http_client& kept);
-    decision::stage_result call(const timed_run& next,
-                                runtime::http_client& kept);
+    void run_worker();
+    void execute(const job& next_job, runtime::http_client& keep_alive_client);
+    decision::stage_result call_target(const queued_run& queued,
+                                       runtime::http_client& keep_alive_client);
     decision::stage_result post(runtime::http_client& client,
                                 const decision::start_run& run,
-                                decision::duration left);
+                                decision::duration time_left);
 
     std::string m_name = "target_caller";
     runtime::address m_target;
     unsigned m_thread_count;
-    gate_keeper& m_keeper;
+    gate_keeper& m_admission;
     const runtime::clock& m_clock;
     runtime::metrics& m_metrics;
     std::vector<std::thread> m_threads;
     std::mutex m_mutex;
-    std::condition_variable m_changed;
+    std::condition_variable m_jobs_changed;
     std::deque<job> m_jobs;
     std::map<decision::run_id, std::string> m_cancel_bodies;
     bool m_is_stopping = false;
--- a/packages/sidecar/target_message.cpp
+++ b/packages/sidecar/target_message.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned http_ok = 200;
 
-nlohmann::json names_of(const start_run& run)
+nlohmann::json identity_fields(const start_run& run)
 {
     return {{"account", run.key.account},
             {"request_id", run.key.request_id},
@@ -20,23 +20,23 @@
             {"attempt", run.attempt}};
 }
 
-stage_result failed(reason why)
+stage_result failed(reason cause)
 {
-    return {stage_status::failed, why, {}, {}, {}, false};
+    return {stage_status::failed, cause, {}, {}, {}, false};
 }
 
 } // namespace
 
 std::string run_message(const start_run& run)
 {
-    nlohmann::json head = names_of(run);
-    head["priority"] = to_string(run.priority);
-    head["model"] = run.model;
-    head["budget_ms"] =
+    nlohmann::json fields = identity_fields(run);
+    fields["priority"] = to_string(run.priority);
+    fields["model"] = run.model;
+    fields["budget_ms"] =
         std::chrono::duration_cast<std::chrono::milliseconds>(run.budget)
             .count();
-    // The input is JSON already, checked where it entered the system.
-    std::string text = head.dump();
+    // The input is inserted as it is: the entry has validated it as JSON.
+    std::string text = fields.dump();
     text.pop_back();
     text += ",\"input\":";
     text += run.body.empty() ? "null" : run.body;
@@ -46,7 +46,7 @@
 
 std::string cancel_message(const start_run& run)
 {
-    return names_of(run).dump();
+    return identity_fields(run).dump();
 }
 
 stage_result read_answer(const start_run& run,
@@ -57,7 +57,7 @@
         return failed(reason::target_failed);
     if (answer.status != http_ok)
     {
-        // Only the target itself can say that it did not run the work.
+        // Only the target can confirm that it did not run the work.
         const auto ran = json.find("ran");
         if (ran != json.end() && ran->is_boolean() && !ran->get<bool>())
             return refused(reason::target_down);
--- a/packages/sidecar/target_message.hpp
+++ b/packages/sidecar/target_message.hpp
@@ -8,14 +8,15 @@
 namespace mangofold::sidecar
 {
 
-/// Returns the JSON that asks the target to run \a run.
+/// Returns the JSON body of the call that starts \a run on the target.
 std::string run_message(const decision::start_run& run);
 
-/// Returns the JSON that tells the target to drop \a run.
+/// Returns the JSON body of the call that cancels \a run on the target.
 std::string cancel_message(const decision::start_run& run);
 
-/// Returns what the target's \a answer to \a run means. An answer that is no
-/// JSON, or that names another request or stage, counts as failed.
+/// Returns the result in the target's \a answer to \a run: refused if the
+/// target reports that it did not run the work; failed for another error, an
+/// answer that is not a JSON object, or one for another request or stage.
 decision::stage_result read_answer(const decision::start_run& run,
                                    const runtime::http_answer& answer);
 
--- a/packages/sidecar/target_port.hpp
+++ b/packages/sidecar/target_port.hpp
@@ -5,16 +5,16 @@
 namespace mangofold::sidecar
 {
 
-/// Hands work to the target.
+/// Executes runs on the target. Methods must not block.
 class target_port
 {
 public:
     virtual ~target_port() = default;
 
-    /// Starts a run; its end is reported later, from another thread.
+    /// Starts a run. Its result is reported later, from another thread.
     virtual void start(const decision::start_run& run) = 0;
 
-    /// Tells the target that nobody waits for a run any more.
+    /// Tells the target that no entry waits for the run any more.
     virtual void cancel(decision::run_id run) = 0;
 };
 
--- a/packages/wire/batch_stream.hpp
+++ b/packages/wire/batch_stream.hpp
@@ -6,8 +6,9 @@
 namespace mangofold::wire
 {
 
-/// One end of a link: sends queued messages in batches and hands on those
-/// that arrive. Works for the client's and the server's reactor alike.
+/// One side of a bidirectional gRPC stream. Sends queued messages in batches
+/// and passes received messages one by one to the derived class. \a Reactor is
+/// the client or server reactor of the gRPC callback API.
 template<typename Reactor, typename Incoming, typename Outgoing>
 class batch_stream : public Reactor
 {
@@ -17,7 +18,8 @@
     using incoming_message =
         std::remove_cvref_t<decltype(std::declval<Incoming>().messages(0))>;
 
-    /// Queues \a message. Returns whether the stream was open.
+    /// Queues \a message. Returns false if the stream is closed or the queue is
+    /// full.
     bool send(outgoing_message message)
     {
         const std::lock_guard lock(m_mutex);
@@ -28,7 +30,8 @@
         return true;
     }
 
-    /// Whether everything sent so far was handed to the network.
+    /// Whether all queued messages were passed to the network, or the stream is
+    /// closed.
     bool is_flushed()
     {
         const std::lock_guard lock(m_mutex);
@@ -62,12 +65,12 @@
     }
 
 protected:
-    // A peer that reads nothing must not fill this process's memory.
+    // Bounds the memory that a peer which does not read can occupy.
     static constexpr int max_queued = 4096;
 
     virtual void received(const incoming_message& message) = 0;
 
-    /// Called once, when nothing can be sent any more.
+    /// Called once, when the stream is closed for sending.
     virtual void closed() = 0;
 
     void start_reading() { this->StartRead(&m_incoming); }
--- a/packages/wire/callback_keeper.cpp
+++ b/packages/wire/callback_keeper.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-class callback_keeper : public grpc::ClientBidiReactor<EntryBatch, SidecarBatch>
+class permanent_call : public grpc::ClientBidiReactor<EntryBatch, SidecarBatch>
 {
 public:
-    callback_keeper()
+    permanent_call()
         : m_channel(grpc::CreateChannel("ipv4:127.0.0.1:1",
                                         grpc::InsecureChannelCredentials())),
           m_stub(Link::NewStub(m_channel))
@@ -35,15 +35,16 @@
 
 } // namespace
 
-// The library ends its callback threads with the last channel and starts
-// them again with the next. Where the last channel goes while a callback of
-// it still runs, the process dies of a failed assertion (ref_counted.h,
-// prior > 0): an entry whose sidecars all went away at once died so. One
-// channel that was used once and is never destroyed holds the threads.
+// gRPC stops its callback threads when the last channel is destroyed and
+// starts them again for the next one. If the last channel is destroyed while
+// one of its callbacks still runs, the process aborts with a failed assertion
+// (ref_counted.h, prior > 0); this happened to an entry whose sidecars all
+// disconnected at once. A channel that was used once and is never destroyed
+// keeps the threads alive.
 void keep_callback_threads()
 {
-    static const auto* const kept = new callback_keeper;
-    static_cast<void>(kept);
+    static const auto* const call = new permanent_call;
+    static_cast<void>(call);
 }
 
 } // namespace mangofold::wire
--- a/packages/wire/callback_keeper.hpp
+++ b/packages/wire/callback_keeper.hpp
@@ -3,8 +3,8 @@
 namespace mangofold::wire
 {
 
-/// Keeps the gRPC library's callback threads up until the process ends. To
-/// be called before a channel or a server is made.
+/// Keeps the gRPC library's callback threads alive until the process ends.
+/// Must be called before any channel or server is created.
 void keep_callback_threads();
 
 } // namespace mangofold::wire
--- a/packages/wire/convert.cpp
+++ b/packages/wire/convert.cpp
@@ -75,9 +75,9 @@
     value.running = load.running();
     value.limit = load.limit();
     value.service_time = std::chrono::microseconds(load.service_us());
-    const auto known = std::min<std::size_t>(
+    const auto class_count = std::min<std::size_t>(
         value.queued.size(), static_cast<std::size_t>(load.queued_size()));
-    for (std::size_t index = 0; index < known; ++index)
+    for (std::size_t index = 0; index < class_count; ++index)
         value.queued[index] = load.queued(static_cast<int>(index));
     return value;
 }
@@ -157,17 +157,18 @@
     return result;
 }
 
-void to_wire(const decision::target_crash& one, decision::instant now,
+void to_wire(const decision::target_crash& crash, decision::instant now,
              TargetLost& message)
 {
-    const auto ago = std::max(decision::duration::zero(), now - one.crashed_at);
+    const auto age =
+        std::max(decision::duration::zero(), now - crash.crashed_at);
     message.set_ended_ago_us(
-        std::chrono::duration_cast<std::chrono::microseconds>(ago).count());
-    message.set_content_high(one.content.high);
-    message.set_content_low(one.content.low);
-    message.set_born(one.target.born);
+        std::chrono::duration_cast<std::chrono::microseconds>(age).count());
+    message.set_content_high(crash.content.high);
+    message.set_content_low(crash.content.low);
+    message.set_born(crash.target.born);
     message.set_ran_us(std::chrono::duration_cast<std::chrono::microseconds>(
-                           one.crashed_at - one.started_at)
+                           crash.crashed_at - crash.started_at)
                            .count());
 }
 
@@ -176,13 +177,13 @@
                                  decision::instant now)
 {
     using microseconds = std::chrono::microseconds;
-    const auto least = microseconds::zero();
-    const decision::instant ended =
-        now - std::max(least, microseconds(message.ended_ago_us()));
+    const auto zero = microseconds::zero();
+    const decision::instant crashed_at =
+        now - std::max(zero, microseconds(message.ended_ago_us()));
     return {{message.content_high(), message.content_low()},
             {target, message.born()},
-            ended - std::max(least, microseconds(message.ran_us())),
-            ended};
+            crashed_at - std::max(zero, microseconds(message.ran_us())),
+            crashed_at};
 }
 
 } // namespace mangofold::wire
--- a/packages/wire/convert.hpp
+++ b/packages/wire/convert.hpp
@@ -10,24 +10,29 @@
 namespace mangofold::wire
 {
 
+/// Converts between the types of the decision library and the messages of
+/// link.proto.
 Load to_wire(const decision::target_load& load);
 decision::target_load from_wire(const Load& load);
 
-/// Fills everything but the number of \a message.
+/// Sets all fields of \a message except its number.
 void to_wire(const decision::submission& work, Submit& message);
 decision::submission from_wire(const Submit& message, decision::link_id link,
                                std::uint64_t generation);
 
+/// Sets the fields of \a message that \a result holds: all but its number,
+/// request, stage, attempt and load.
 void to_wire(const decision::stage_result& result, Result& message);
 
-/// Returns the result in \a message; a status or reason that is not known
-/// counts as an unknown outcome.
+/// Returns the result in \a message. An unrecognized status is read as an
+/// unknown outcome, an unrecognized reason as no reason.
 decision::stage_result from_wire(const Result& message);
 
-void to_wire(const decision::target_crash& one, decision::instant now,
+/// Times are sent as ages at \a now, since the clocks of machines differ.
+void to_wire(const decision::target_crash& crash, decision::instant now,
              TargetLost& message);
 
-/// Returns the end of \a target in \a message, as of \a now.
+/// Returns the crash of \a target in \a message, received at \a now.
 decision::target_crash from_wire(const TargetLost& message,
                                  const std::string& target,
                                  decision::instant now);
--- a/tests/link/link_test.cpp
+++ b/tests/link/link_test.cpp
@@ -23,23 +23,26 @@
         "stages": [{"id": "generate", "pool": "p"}]}],
     "accounts": [{"id": "desk"}]})";
 
-/// Ends every run at once with the request's id as the answer.
-class echo_port : public sidecar::target_port
+/// Completes every run immediately, with the request ID as its output.
+class echo_executor : public sidecar::target_port
 {
 public:
-    explicit echo_port(sidecar::gate_keeper& keeper) : m_keeper(keeper) {}
+    explicit echo_executor(sidecar::gate_keeper& admission)
+        : m_admission(admission)
+    {
+    }
 
     void start(const decision::start_run& run) override
     {
         m_workers.emplace_back(
             [this, run]
             {
-                m_keeper.finish(run.run, {decision::stage_status::done,
-                                          decision::reason::none,
-                                          "\"" + run.key.request_id + "\"",
-                                          1ms,
-                                          {},
-                                          false});
+                m_admission.finish(run.run, {decision::stage_status::done,
+                                             decision::reason::none,
+                                             "\"" + run.key.request_id + "\"",
+                                             1ms,
+                                             {},
+                                             false});
             });
     }
 
@@ -47,82 +50,84 @@
 
     void join()
     {
-        for (std::thread& one : m_workers)
-            one.join();
+        for (std::thread& worker : m_workers)
+            worker.join();
         m_workers.clear();
     }
 
 private:
-    sidecar::gate_keeper& m_keeper;
+    sidecar::gate_keeper& m_admission;
     std::vector<std::thread> m_workers;
 };
 
-/// A sidecar without a target, on a real port.
-struct sidecar_side
+/// A sidecar that listens on a TCP port and has no target process.
+struct sidecar_fixture
 {
-    runtime::system_clock time;
+    runtime::system_clock clock;
     runtime::metrics counters;
     configuration::config_store store{counters};
-    sidecar::gate_keeper keeper{
-        {"t1", 11, time.now()}, {2s, 100, 1024}, time, counters};
+    sidecar::gate_keeper admission{
+        {"t1", 11, clock.now()}, {2s, 100, 1024}, clock, counters};
     sidecar::link_server server{
-        {"127.0.0.1", 28902}, "t1", keeper, store, counters};
-    echo_port port{keeper};
+        {"127.0.0.1", 28902}, "t1", admission, store, counters};
+    echo_executor executor{admission};
 
-    sidecar_side()
+    sidecar_fixture()
     {
-        keeper.set_ports(server, port);
-        store.add_listener([this](const configuration::snapshot_ptr& value)
-                           { keeper.configure(value); });
+        admission.set_ports(server, executor);
+        store.add_listener([this](const configuration::snapshot_ptr& snapshot)
+                           { admission.configure(snapshot); });
         store.offer(manifest_text, configuration::source::service);
         server.start();
     }
 
-    ~sidecar_side()
+    ~sidecar_fixture()
     {
         server.stop();
-        port.join();
+        executor.join();
     }
 };
 
-struct entry_side
+/// An entry with one link to the sidecar.
+struct entry_fixture
 {
-    runtime::system_clock time;
+    runtime::system_clock clock;
     runtime::metrics counters;
     configuration::config_store store{counters};
-    entry::router routes{"z1", time, 1};
-    entry::link_context context{"e1", "z1", time, counters, store, routes};
+    entry::router routes{"z1", clock, 1};
+    entry::link_context context{"e1", "z1", clock, counters, store, routes};
     std::shared_ptr<entry::sidecar_link> link =
         std::make_shared<entry::sidecar_link>(context, "t1", "127.0.0.1:28902");
 
-    entry_side()
+    entry_fixture()
     {
-        store.add_listener([this](const configuration::snapshot_ptr& value)
-                           { routes.configure(value); });
+        store.add_listener([this](const configuration::snapshot_ptr& snapshot)
+                           { routes.configure(snapshot); });
         store.offer(manifest_text, configuration::source::service);
     }
 
-    ~entry_side() { link->close(); }
+    ~entry_fixture() { link->close(); }
 
-    /// Sends one request and returns its answer, trying until it leaves.
-    std::string ask(const std::string& id)
+    /// Sends one request and returns its result, or "none" without one. Retries
+    /// until the link accepts the request.
+    std::string send_request(const std::string& id)
     {
         const auto replies = std::make_shared<entry::mailbox>();
         decision::submission work;
         work.key = {"desk", id, "generate"};
         work.attempt = 1;
         work.budget = 5s;
-        for (int turn = 0; turn < 1000; ++turn)
+        for (int attempt = 0; attempt < 1000; ++attempt)
         {
             link->maintain();
             if (link->submit(work, replies))
                 break;
             std::this_thread::sleep_for(10ms);
         }
-        const auto mail = replies->take(20s);
-        if (!mail || !std::holds_alternative<entry::result_message>(*mail))
+        const auto reply = replies->take(20s);
+        if (!reply || !std::holds_alternative<entry::result_message>(*reply))
             return "none";
-        return std::get<entry::result_message>(*mail).result.body;
+        return std::get<entry::result_message>(*reply).result.body;
     }
 };
 
@@ -130,34 +135,35 @@
 
 TEST_SUITE("link")
 {
-    TEST_CASE("a submission crosses and its result comes back")
+    TEST_CASE("an entry receives the result of its submission")
     {
-        const sidecar_side far;
-        entry_side near;
-        CHECK(near.ask("r1") == "\"r1\"");
+        const sidecar_fixture server_side;
+        entry_fixture client_side;
+        CHECK(client_side.send_request("r1") == "\"r1\"");
     }
 
-    TEST_CASE("a link opens again when the sidecar comes back")
+    TEST_CASE("a link reconnects after the sidecar restarts")
     {
-        entry_side near;
+        entry_fixture client_side;
         for (const char* id : {"r1", "r2", "r3"})
         {
-            const sidecar_side far;
-            CHECK(near.ask(id) == "\"" + std::string(id) + "\"");
+            const sidecar_fixture server_side;
+            CHECK(client_side.send_request(id) ==
+                  "\"" + std::string(id) + "\"");
         }
     }
 
-    TEST_CASE("both ends may close at the same moment")
+    TEST_CASE("both sides of a link can close simultaneously")
     {
-        // A planned stop of the fleet ends entries and sidecars together.
-        // Once, the entry died of a failed assertion in the gRPC library.
-        for (int turn = 0; turn < 40; ++turn)
+        // A planned shutdown of the fleet stops entries and sidecars together.
+        // An entry once aborted there on a failed assertion in gRPC.
+        for (int attempt = 0; attempt < 40; ++attempt)
         {
-            auto far = std::make_unique<sidecar_side>();
-            auto near = std::make_unique<entry_side>();
-            near->ask("r1");
-            std::thread closing([&] { far.reset(); });
-            near.reset();
+            auto server_side = std::make_unique<sidecar_fixture>();
+            auto client_side = std::make_unique<entry_fixture>();
+            client_side->send_request("r1");
+            std::thread closing([&] { server_side.reset(); });
+            client_side.reset();
             closing.join();
         }
     }
--- a/tests/link/poison_path_test.cpp
+++ b/tests/link/poison_path_test.cpp
@@ -21,10 +21,10 @@
 {
 
 constexpr std::uint16_t first_port = 28910;
-constexpr int instances = 4;
-constexpr std::size_t links_per_pool = 8; // A quarter is for other zones.
+constexpr int target_count = 4;
+constexpr std::size_t links_per_pool = 8; // A quarter goes to other zones.
 
-std::string name_of(int number)
+std::string target_id(int number)
 {
     return "t" + std::to_string(number);
 }
@@ -32,11 +32,11 @@
 std::string manifest_text()
 {
     std::string targets;
-    for (int one = 0; one < instances; ++one)
-        targets += std::string(one == 0 ? "" : ",") + R"({"id": ")" +
-                   name_of(one) +
+    for (int number = 0; number < target_count; ++number)
+        targets += std::string(number == 0 ? "" : ",") + R"({"id": ")" +
+                   target_id(number) +
                    R"(", "zone": "z1", "address": "127.0.0.1:1", "sidecar": )" +
-                   "\"127.0.0.1:" + std::to_string(first_port + one) + "\"}";
+                   "\"127.0.0.1:" + std::to_string(first_port + number) + "\"}";
     return R"({"generation": 1, "resend_horizon_ms": 6000, "zones": ["z1"],
         "models": [], "pools": [{"id": "p", "slots": 4, "targets": [)" +
            targets + R"(]}], "pipelines": [
@@ -47,140 +47,147 @@
         "accounts": [{"id": "desk"}]})";
 }
 
-/// A target and the sidecar beside it.
-struct instance
+/// A target and its sidecar, each on a TCP port.
+struct target_with_sidecar
 {
-    explicit instance(int number)
-        : keeper({name_of(number), 11, time.now() - 1min}, {2s, 100, 1024},
-                 time, counters),
+    explicit target_with_sidecar(int number)
+        : admission({target_id(number), 11, clock.now() - 1min},
+                    {2s, 100, 1024}, clock, counters),
           links({"127.0.0.1", static_cast<std::uint16_t>(first_port + number)},
-                name_of(number), keeper, store, counters),
-          caller({"127.0.0.1", target.port()}, 2, keeper, time, counters)
+                target_id(number), admission, store, counters),
+          caller({"127.0.0.1", target.port()}, 2, admission, clock, counters)
     {
-        keeper.set_ports(links, caller);
-        store.add_listener([this](const configuration::snapshot_ptr& value)
-                           { keeper.configure(value); });
+        admission.set_ports(links, caller);
+        store.add_listener([this](const configuration::snapshot_ptr& snapshot)
+                           { admission.configure(snapshot); });
         store.offer(manifest_text(), configuration::source::service);
         caller.start();
         links.start();
     }
 
-    ~instance()
+    ~target_with_sidecar()
     {
         links.stop();
         caller.stop();
     }
 
-    runtime::system_clock time;
+    runtime::system_clock clock;
     runtime::metrics counters;
     tests::ending_target target;
     configuration::config_store store{counters};
-    sidecar::gate_keeper keeper;
+    sidecar::gate_keeper admission;
     sidecar::link_server links;
     sidecar::target_caller caller;
 };
 
-struct one_entry
+/// An entry that runs requests through its pipelines.
+struct entry_fixture
 {
-    explicit one_entry(const std::string& name)
-        : context{name, "z1", time, counters, store, routes},
-          links(context, links_per_pool), runner(links, routes, time, counters)
+    explicit entry_fixture(const std::string& name)
+        : context{name, "z1", clock, counters, store, routes},
+          links(context, links_per_pool), runner(links, routes, clock, counters)
     {
-        context.on_target_crash = [this](const decision::target_crash& one)
-        { runner.quarantine().note_crash(one); };
-        store.add_listener([this](const configuration::snapshot_ptr& value)
-                           { routes.configure(value); });
-        store.add_listener([this](const configuration::snapshot_ptr& value)
-                           { links.configure(value); });
+        context.on_target_crash = [this](const decision::target_crash& crash)
+        { runner.quarantine().note_crash(crash); };
+        store.add_listener([this](const configuration::snapshot_ptr& snapshot)
+                           { routes.configure(snapshot); });
+        store.add_listener([this](const configuration::snapshot_ptr& snapshot)
+                           { links.configure(snapshot); });
         store.offer(manifest_text(), configuration::source::service);
     }
 
-    ~one_entry() { links.close(); }
+    ~entry_fixture() { links.close(); }
 
-    entry::outcome ask(const std::string& pipeline, const std::string& input)
+    /// Runs \a input through \a pipeline under a new request ID.
+    entry::outcome send_request(const std::string& pipeline,
+                                const std::string& input)
     {
         return runner.run({pipeline,
                            "desk",
-                           context.entry_id + std::to_string(++asked),
+                           context.entry_id + std::to_string(++last_request),
                            0s,
                            "{\"q\":\"" + input + "\"}",
                            {}},
                           store.current());
     }
 
-    runtime::system_clock time;
+    runtime::system_clock clock;
     runtime::metrics counters;
     configuration::config_store store{counters};
-    entry::router routes{"z1", time, 1};
+    entry::router routes{"z1", clock, 1};
     entry::link_context context;
     entry::link_table links;
     entry::pipeline_runner runner;
-    int asked = 0;
+    int last_request = 0;
 };
 
-struct own_path
+/// Several sidecars with their targets, and two entries linked to all of them.
+struct deployment
 {
-    own_path()
+    deployment()
     {
-        for (int one = 0; one < instances; ++one)
-            sidecars.push_back(std::make_unique<instance>(one));
+        for (int number = 0; number < target_count; ++number)
+            sidecars.push_back(std::make_unique<target_with_sidecar>(number));
         for (const char* name : {"e1", "e2"})
-            entries.push_back(std::make_unique<one_entry>(name));
-        for (int turn = 0; turn < 1000 && !is_linked(); ++turn)
+            entries.push_back(std::make_unique<entry_fixture>(name));
+        for (int attempt = 0; attempt < 1000 && !is_linked(); ++attempt)
         {
-            for (const auto& one : entries)
-                one->links.maintain();
+            for (const auto& entry : entries)
+                entry->links.maintain();
             std::this_thread::sleep_for(10ms);
         }
         REQUIRE(is_linked());
-        for (const auto& one : sidecars)
-            one->links.renew_grants();
+        for (const auto& sidecar : sidecars)
+            sidecar->links.renew_grants();
     }
 
     bool is_linked() const
     {
-        return std::all_of(sidecars.begin(), sidecars.end(),
-                           [this](const auto& one) {
-                               return one->links.link_count() == entries.size();
-                           });
+        return std::all_of(
+            sidecars.begin(), sidecars.end(),
+            [this](const auto& sidecar)
+            { return sidecar->links.link_count() == entries.size(); });
     }
 
-    unsigned ended() const
+    /// Returns how often the targets crashed in total.
+    unsigned crash_count() const
     {
         unsigned sum = 0;
-        for (const auto& one : sidecars)
-            sum += one->target.ended();
+        for (const auto& sidecar : sidecars)
+            sum += sidecar->target.ended();
         return sum;
     }
 
-    std::vector<std::unique_ptr<instance>> sidecars;
-    std::vector<std::unique_ptr<one_entry>> entries;
+    std::vector<std::unique_ptr<target_with_sidecar>> sidecars;
+    std::vector<std::unique_ptr<entry_fixture>> entries;
 };
 
 } // namespace
 
-// Callers of the product's own path lose targets to one request.
-// 1. It ends the target that begins it; the entry tries the next ones, and the
-// caller gets a failure. 2. It is sent again, under a new id, to another
-// entry. 3. That one treats it as if it had never come.
-TEST_CASE("a request that ends its targets is kept from the others")
+// Guards against one request that crashes many targets on the path through
+// entries and sidecars. The request crashes the target that runs it, the entry
+// tries further targets, and the client gets a failure. The client then sends
+// the same request under a new ID to another entry, which would treat it as
+// new if the entries did not learn of the crashes.
+TEST_CASE("a request that crashes its targets is kept from other targets")
 {
     for (const std::string pipeline : {"chat", "redeem"})
     {
         CAPTURE(pipeline);
-        own_path path;
-        entry::outcome last;
-        for (int sending = 0; sending < 10; ++sending)
+        deployment fleet;
+        entry::outcome last_outcome;
+        for (int attempt = 0; attempt < 10; ++attempt)
         {
-            const std::size_t at = static_cast<std::size_t>(sending) % 2;
-            last = path.entries[at]->ask(pipeline, "poison");
-            // As long as another caller's sending, or the news, takes.
+            const std::size_t index = static_cast<std::size_t>(attempt) % 2;
+            last_outcome =
+                fleet.entries[index]->send_request(pipeline, "poison");
+            // The time that another client's request or the crash report takes.
             std::this_thread::sleep_for(50ms);
-            CHECK(path.entries[at]->ask("chat", "harmless").kind ==
+            CHECK(fleet.entries[index]->send_request("chat", "harmless").kind ==
                   entry::outcome_kind::answered);
         }
-        CHECK(path.ended() <= 3);
-        CHECK(last.kind != entry::outcome_kind::answered);
-        CHECK(last.retry_after > 0s);
+        CHECK(fleet.crash_count() <= 3);
+        CHECK(last_outcome.kind != entry::outcome_kind::answered);
+        CHECK(last_outcome.retry_after > 0s);
     }
 }
