--- a/Makefile
+++ b/Makefile
@@ -46,7 +46,7 @@
 bench: build
 	$(PYTHON) bench/scenarios.py $(SCENARIO)
 
-# The channel that wire/callback_keeper never destroys is no leak to mend.
+# The channel that wire/callback_threads never destroys is no leak to mend.
 # With sanitizers g++ 12 warns of things in Boost and coroutines that are in
 # order.
 SANITIZE = -fsanitize=address,undefined -fno-sanitize-recover=all -O1 \
--- a/packages/entry/sidecar_stream.cpp
+++ b/packages/entry/sidecar_stream.cpp
@@ -1,6 +1,6 @@
 #include "entry/sidecar_stream.hpp"
 
-#include "wire/callback_keeper.hpp"
+#include "wire/callback_threads.hpp"
 
 #include <grpcpp/grpcpp.h>
 
@@ -41,7 +41,7 @@
     close();
 }
 
-void sidecar_stream::closed()
+void sidecar_stream::handle_close()
 {
     m_context.TryCancel();
     m_on_closed();
--- a/packages/entry/sidecar_stream.hpp
+++ b/packages/entry/sidecar_stream.hpp
@@ -36,12 +36,12 @@
     void OnDone(const grpc::Status&) override { m_self.reset(); }
 
 protected:
-    void received(const wire::SidecarMessage& message) override
+    void handle_message(const wire::SidecarMessage& message) override
     {
         m_on_message(message);
     }
 
-    void closed() override;
+    void handle_close() override;
 
 private:
     message_handler m_on_message;
--- a/packages/sidecar/gate_keeper.cpp
+++ b/packages/sidecar/admission_controller.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/gate_keeper.hpp"
+#include "sidecar/admission_controller.hpp"
 
 #include "decision/request_content.hpp"
 #include "runtime/event.hpp"
@@ -25,21 +25,24 @@
 
 } // namespace
 
-gate_keeper::gate_keeper(gate::identity self, gate::bounds limits,
-                         const runtime::clock& clock,
-                         runtime::metrics& counters)
+admission_controller::admission_controller(gate::identity self,
+                                           gate::bounds limits,
+                                           const runtime::clock& clock,
+                                           runtime::metrics& counters)
     : m_target(self.target), m_clock(clock), m_metrics(counters),
       m_gate(std::move(self), limits)
 {
 }
 
-void gate_keeper::set_ports(result_sink& results, target_port& target)
+void admission_controller::set_outputs(result_sink& results,
+                                       run_executor& executor)
 {
     m_results = &results;
-    m_executor = &target;
+    m_executor = &executor;
 }
 
-void gate_keeper::configure(const configuration::snapshot_ptr& snapshot)
+void admission_controller::configure(
+    const configuration::snapshot_ptr& snapshot)
 {
     const manifest::document& document = snapshot->document;
     for (const manifest::pool& pool : document.pools)
@@ -64,7 +67,7 @@
     set_stopping();
 }
 
-grant_notice gate_keeper::renew_grant(link_id link)
+grant_notice admission_controller::renew_grant(link_id link)
 {
     const std::lock_guard lock(m_mutex);
     const auto grant = m_gate.issue_grant(link, m_clock.now());
@@ -72,37 +75,37 @@
             m_gate.is_leaving(m_clock.now()), m_gate.load()};
 }
 
-std::optional<ticket> gate_keeper::mint_ticket()
+std::optional<ticket> admission_controller::mint_ticket()
 {
     const std::lock_guard lock(m_mutex);
     return m_gate.mint_ticket(m_clock.now());
 }
 
-void gate_keeper::submit(const submission& work)
+void admission_controller::submit(const submission& work)
 {
     const std::lock_guard lock(m_mutex);
     apply(m_gate.submit(work, m_clock.now()));
 }
 
-void gate_keeper::cancel(const submission_ref& ref)
+void admission_controller::cancel(const submission_ref& ref)
 {
     const std::lock_guard lock(m_mutex);
     apply(m_gate.cancel(ref, m_clock.now()));
 }
 
-void gate_keeper::close_link(link_id link)
+void admission_controller::close_link(link_id link)
 {
     const std::lock_guard lock(m_mutex);
     apply(m_gate.close_link(link, m_clock.now()));
 }
 
-void gate_keeper::finish(run_id run, const stage_result& result)
+void admission_controller::finish(run_id run, const stage_result& result)
 {
     const std::lock_guard lock(m_mutex);
     apply(m_gate.finish(run, result, m_clock.now()));
 }
 
-void gate_keeper::advance()
+void admission_controller::advance()
 {
     const std::lock_guard lock(m_mutex);
     apply(m_gate.advance(m_clock.now()));
@@ -110,7 +113,8 @@
 
 // Runs that started before the latest crash was noticed are attributed to that
 // crash, so that runs lost together count as one crash.
-void gate_keeper::note_target_lost(const start_run& run, instant started_at)
+void admission_controller::record_target_crash(const start_run& run,
+                                               instant started_at)
 {
     const std::lock_guard lock(m_mutex);
     const instant now = m_clock.now();
@@ -130,16 +134,16 @@
         .with("content", to_text(content))
         .with("target", m_target)
         .warn();
-    m_results->tell_end({content, target, started_at, now});
+    m_results->report_target_crash({content, target, started_at, now});
 }
 
-void gate_keeper::set_stopping()
+void admission_controller::set_stopping()
 {
     const std::lock_guard lock(m_mutex);
     apply(m_gate.set_stopping(m_clock.now()));
 }
 
-bool gate_keeper::note_leaving()
+bool admission_controller::renew_leaving()
 {
     // Longer than the interval at which any entry repeats the notice.
     constexpr duration leaving_lease = std::chrono::seconds(5);
@@ -152,37 +156,37 @@
     return is_change;
 }
 
-bool gate_keeper::is_leaving() const
+bool admission_controller::is_leaving() const
 {
     const std::lock_guard lock(m_mutex);
     return m_gate.is_leaving(m_clock.now());
 }
 
-bool gate_keeper::is_idle() const
+bool admission_controller::is_idle() const
 {
     const std::lock_guard lock(m_mutex);
     return m_gate.is_idle();
 }
 
-std::uint64_t gate_keeper::generation() const
+std::uint64_t admission_controller::generation() const
 {
     const std::lock_guard lock(m_mutex);
     return m_gate.generation();
 }
 
-std::uint64_t gate_keeper::incarnation() const
+std::uint64_t admission_controller::incarnation() const
 {
     const std::lock_guard lock(m_mutex);
     return m_gate.incarnation();
 }
 
-target_load gate_keeper::load() const
+target_load admission_controller::load() const
 {
     const std::lock_guard lock(m_mutex);
     return m_gate.load();
 }
 
-std::size_t gate_keeper::ledger_size() const
+std::size_t admission_controller::ledger_size() const
 {
     const std::lock_guard lock(m_mutex);
     return m_gate.ledger_size();
@@ -190,7 +194,7 @@
 
 // Effects are applied under the lock, so that the receivers get them in the
 // order in which the gate decided them. Neither receiver blocks.
-void gate_keeper::apply(const gate_effects& effects)
+void admission_controller::apply(const gate_effects& effects)
 {
     for (const gate_effect& effect : effects)
     {
@@ -207,7 +211,7 @@
     }
 }
 
-void gate_keeper::count_result(const send_result& sent)
+void admission_controller::count_result(const send_result& sent)
 {
     const stage_result& result = sent.result;
     ++m_metrics.count(
--- a/packages/sidecar/gate_keeper.hpp
+++ b/packages/sidecar/admission_controller.hpp
@@ -6,7 +6,7 @@
 #include "runtime/clock.hpp"
 #include "runtime/metrics.hpp"
 #include "sidecar/result_sink.hpp"
-#include "sidecar/target_port.hpp"
+#include "sidecar/run_executor.hpp"
 
 #include <mutex>
 #include <optional>
@@ -26,17 +26,18 @@
 /// Thread-safe admission control of the target. Wraps the gate, which decides
 /// and does no I/O, in a lock and applies the effects that it returns: runs go
 /// to the target, results to the entries.
-class gate_keeper
+class admission_controller
 {
 public:
     using gate = decision::target_gate<decision::adaptive_limit>;
 
-    gate_keeper(gate::identity self, gate::bounds limits,
-                const runtime::clock& clock, runtime::metrics& counters);
+    admission_controller(gate::identity self, gate::bounds limits,
+                         const runtime::clock& clock,
+                         runtime::metrics& counters);
 
     /// Sets the receivers of the effects. Must be called before any other
     /// method.
-    void set_ports(result_sink& results, target_port& target);
+    void set_outputs(result_sink& results, run_executor& executor);
 
     /// Applies the pool of this target in \a snapshot. Stops new work
     /// permanently if no pool contains the target.
@@ -67,8 +68,8 @@
     /// Reports to all entries that the target crashed, or its connection was
     /// lost, during \a run, which was sent to the target at \a started_at. A
     /// leaving target is not reported.
-    void note_target_lost(const decision::start_run& run,
-                          decision::instant started_at);
+    void record_target_crash(const decision::start_run& run,
+                             decision::instant started_at);
 
     /// Stops new work permanently.
     void set_stopping();
@@ -76,7 +77,7 @@
     /// Stops new work for a few seconds because the platform lists the target
     /// as leaving; entries repeat the notice. Returns whether the target was
     /// not leaving before.
-    bool note_leaving();
+    bool renew_leaving();
 
     decision::instant now() const { return m_clock.now(); }
     bool is_leaving() const;
@@ -95,7 +96,7 @@
     const runtime::clock& m_clock;
     runtime::metrics& m_metrics;
     result_sink* m_results = nullptr;
-    target_port* m_executor = nullptr;
+    run_executor* m_executor = nullptr;
     mutable std::mutex m_mutex;
     gate m_gate;
     std::uint64_t m_target_crashes = 0;
--- a/packages/sidecar/entry_stream.cpp
+++ b/packages/sidecar/entry_stream.cpp
@@ -17,7 +17,7 @@
     send(std::move(message));
 }
 
-void entry_stream::received(const wire::EntryMessage& message)
+void entry_stream::handle_message(const wire::EntryMessage& message)
 {
     request_newer_manifest(message.generation());
     switch (message.kind_case())
@@ -37,7 +37,7 @@
                               configuration::source::peer);
         return;
     case wire::EntryMessage::kLeaving:
-        if (m_owner.m_admission.note_leaving())
+        if (m_owner.m_admission.renew_leaving())
             m_owner.renew_grants();
         return;
     case wire::EntryMessage::KIND_NOT_SET:
@@ -86,7 +86,7 @@
     send_with_generation(std::move(reply));
 }
 
-void entry_stream::closed()
+void entry_stream::handle_close()
 {
     m_owner.remove_stream(*this);
     Finish(grpc::Status::OK);
--- a/packages/sidecar/entry_stream.hpp
+++ b/packages/sidecar/entry_stream.hpp
@@ -44,8 +44,8 @@
     void OnDone() override { m_self.reset(); }
 
 protected:
-    void received(const wire::EntryMessage& message) override;
-    void closed() override;
+    void handle_message(const wire::EntryMessage& message) override;
+    void handle_close() override;
 
 private:
     void handle_submit(const wire::Submit& message, std::uint64_t generation);
--- a/packages/sidecar/link_server.cpp
+++ b/packages/sidecar/link_server.cpp
@@ -2,7 +2,7 @@
 
 #include "runtime/event.hpp"
 #include "sidecar/entry_stream.hpp"
-#include "wire/callback_keeper.hpp"
+#include "wire/callback_threads.hpp"
 #include "wire/convert.hpp"
 
 #include <grpcpp/grpcpp.h>
@@ -45,7 +45,7 @@
 };
 
 link_server::link_server(runtime::address listen, std::string target,
-                         gate_keeper& admission,
+                         admission_controller& admission,
                          configuration::config_store& store,
                          runtime::metrics& counters)
     : m_listen(std::move(listen)), m_target(std::move(target)),
@@ -163,7 +163,7 @@
     stream->send_with_generation(std::move(message));
 }
 
-void link_server::tell_end(const decision::target_crash& crash)
+void link_server::report_target_crash(const decision::target_crash& crash)
 {
     {
         const std::lock_guard lock(m_mutex);
--- a/packages/sidecar/link_server.hpp
+++ b/packages/sidecar/link_server.hpp
@@ -3,7 +3,7 @@
 #include "configuration/config_store.hpp"
 #include "runtime/address.hpp"
 #include "runtime/child.hpp"
-#include "sidecar/gate_keeper.hpp"
+#include "sidecar/admission_controller.hpp"
 #include "sidecar/result_sink.hpp"
 
 #include <deque>
@@ -23,8 +23,8 @@
 {
 public:
     link_server(runtime::address listen, std::string target,
-                gate_keeper& admission, configuration::config_store& store,
-                runtime::metrics& counters);
+                admission_controller& admission,
+                configuration::config_store& store, runtime::metrics& counters);
     ~link_server() override;
 
     const std::string& name() const override { return m_name; }
@@ -32,7 +32,7 @@
     void stop() noexcept override;
     bool has_failed() const override { return false; }
 
-    void tell_end(const decision::target_crash& crash) override;
+    void report_target_crash(const decision::target_crash& crash) override;
     void send(const decision::send_result& result,
               const decision::target_load& load) override;
 
@@ -69,7 +69,7 @@
     /// Target crashes stored for entries that connect later.
     static constexpr std::size_t max_crashes = 256;
 
-    gate_keeper& m_admission;
+    admission_controller& m_admission;
     configuration::config_store& m_store;
     runtime::metrics& m_metrics;
     std::unique_ptr<service> m_service;
--- a/packages/sidecar/main.cpp
+++ b/packages/sidecar/main.cpp
@@ -17,7 +17,7 @@
         flags.read(argc, argv);
         if (runtime::answered_information(flags, "mangofold-sidecar"))
             return runtime::exit_ok;
-        values = sidecar::checked(flags);
+        values = sidecar::checked_settings(flags);
         if (!runtime::start_log("sidecar", values.target_id, values.log_level))
             throw runtime::settings_error("--log-level has an unknown value");
     }
--- a/packages/sidecar/result_sink.hpp
+++ b/packages/sidecar/result_sink.hpp
@@ -18,7 +18,7 @@
                       const decision::target_load& load) = 0;
 
     /// Reports to all entries that the target crashed during a run.
-    virtual void tell_end(const decision::target_crash& crash) = 0;
+    virtual void report_target_crash(const decision::target_crash& crash) = 0;
 };
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/target_port.hpp
+++ b/packages/sidecar/run_executor.hpp
@@ -6,10 +6,10 @@
 {
 
 /// Executes runs on the target. Methods must not block.
-class target_port
+class run_executor
 {
 public:
-    virtual ~target_port() = default;
+    virtual ~run_executor() = default;
 
     /// Starts a run. Its result is reported later, from another thread.
     virtual void start(const decision::start_run& run) = 0;
--- a/packages/sidecar/sidecar.cpp
+++ b/packages/sidecar/sidecar.cpp
@@ -84,7 +84,7 @@
                                       m_admission, m_store, m_metrics);
     m_caller = caller.get();
     m_links = links.get();
-    m_admission.set_ports(*links, *caller);
+    m_admission.set_outputs(*links, *caller);
     m_store.add_listener([this](const configuration::snapshot_ptr& snapshot)
                          { m_admission.configure(snapshot); });
     m_store.add_listener([this](const configuration::snapshot_ptr&)
--- a/packages/sidecar/sidecar.hpp
+++ b/packages/sidecar/sidecar.hpp
@@ -6,7 +6,7 @@
 #include "runtime/http_server.hpp"
 #include "runtime/metrics.hpp"
 #include "runtime/supervisor.hpp"
-#include "sidecar/gate_keeper.hpp"
+#include "sidecar/admission_controller.hpp"
 #include "sidecar/link_server.hpp"
 #include "sidecar/sidecar_settings.hpp"
 #include "sidecar/target_caller.hpp"
@@ -43,7 +43,7 @@
     const runtime::clock& m_clock;
     runtime::metrics m_metrics;
     configuration::config_store m_store;
-    gate_keeper m_admission;
+    admission_controller m_admission;
     target_caller* m_caller = nullptr;
     link_server* m_links = nullptr;
     configuration::platform_reader m_platform_reader;
--- a/packages/sidecar/sidecar_settings.cpp
+++ b/packages/sidecar/sidecar_settings.cpp
@@ -40,7 +40,7 @@
         "trace, debug, info, warning, error or off");
 }
 
-sidecar_settings checked(const runtime::settings& flags)
+sidecar_settings checked_settings(const runtime::settings& flags)
 {
     sidecar_settings value;
     value.target_id = flags.required_text("target-id");
--- a/packages/sidecar/sidecar_settings.hpp
+++ b/packages/sidecar/sidecar_settings.hpp
@@ -34,6 +34,6 @@
 
 /// Returns the settings in \a flags. Throws runtime::settings_error if one is
 /// missing or out of bounds.
-sidecar_settings checked(const runtime::settings& flags);
+sidecar_settings checked_settings(const runtime::settings& flags);
 
 } // namespace mangofold::sidecar
--- a/packages/sidecar/target_caller.cpp
+++ b/packages/sidecar/target_caller.cpp
@@ -9,7 +9,7 @@
 using namespace decision;
 
 target_caller::target_caller(runtime::address target, unsigned threads,
-                             gate_keeper& admission,
+                             admission_controller& admission,
                              const runtime::clock& clock,
                              runtime::metrics& counters)
     : m_target(std::move(target)), m_thread_count(threads),
@@ -141,7 +141,7 @@
             result = unknown_outcome(is_timeout ? reason::target_timeout
                                                 : reason::target_failed);
         if (result.cause == reason::target_failed)
-            m_admission.note_target_lost(run, started_at);
+            m_admission.record_target_crash(run, started_at);
     }
     result.service_time = m_clock.now() - started_at;
     return result;
--- a/packages/sidecar/target_caller.hpp
+++ b/packages/sidecar/target_caller.hpp
@@ -4,8 +4,8 @@
 #include "runtime/child.hpp"
 #include "runtime/clock.hpp"
 #include "runtime/metrics.hpp"
-#include "sidecar/gate_keeper.hpp"
-#include "sidecar/target_port.hpp"
+#include "sidecar/admission_controller.hpp"
+#include "sidecar/run_executor.hpp"
 
 #include <condition_variable>
 #include <deque>
@@ -26,11 +26,11 @@
 
 /// Calls the target over HTTP from a pool of threads, and reports the results
 /// to the admission control.
-class target_caller : public runtime::child, public target_port
+class target_caller : public runtime::child, public run_executor
 {
 public:
     target_caller(runtime::address target, unsigned threads,
-                  gate_keeper& admission, const runtime::clock& clock,
+                  admission_controller& admission, const runtime::clock& clock,
                   runtime::metrics& counters);
     ~target_caller() override;
 
@@ -67,7 +67,7 @@
     std::string m_name = "target_caller";
     runtime::address m_target;
     unsigned m_thread_count;
-    gate_keeper& m_admission;
+    admission_controller& m_admission;
     const runtime::clock& m_clock;
     runtime::metrics& m_metrics;
     std::vector<std::thread> m_threads;
--- a/packages/wire/batch_stream.hpp
+++ b/packages/wire/batch_stream.hpp
@@ -46,7 +46,7 @@
             return;
         }
         for (const incoming_message& message : m_incoming.messages())
-            received(message);
+            handle_message(message);
         m_incoming.Clear();
         this->StartRead(&m_incoming);
     }
@@ -68,10 +68,10 @@
     // Bounds the memory that a peer which does not read can occupy.
     static constexpr int max_queued = 4096;
 
-    virtual void received(const incoming_message& message) = 0;
+    virtual void handle_message(const incoming_message& message) = 0;
 
     /// Called once, when the stream is closed for sending.
-    virtual void closed() = 0;
+    virtual void handle_close() = 0;
 
     void start_reading() { this->StartRead(&m_incoming); }
 
@@ -83,7 +83,7 @@
                 return;
             m_is_closed = true;
         }
-        closed();
+        handle_close();
     }
 
 private:
--- a/packages/wire/callback_keeper.cpp
+++ b/packages/wire/callback_threads.cpp
@@ -1,4 +1,4 @@
-#include "wire/callback_keeper.hpp"
+#include "wire/callback_threads.hpp"
 
 #include "link.grpc.pb.h"
 
--- a/tests/link/link_test.cpp
+++ b/tests/link/link_test.cpp
@@ -1,7 +1,7 @@
 #include "entry/sidecar_link.hpp"
 #include "manifest/parse.hpp"
 #include "runtime/clock.hpp"
-#include "sidecar/gate_keeper.hpp"
+#include "sidecar/admission_controller.hpp"
 #include "sidecar/link_server.hpp"
 
 #include <doctest/doctest.h>
@@ -24,10 +24,10 @@
     "accounts": [{"id": "desk"}]})";
 
 /// Completes every run immediately, with the request ID as its output.
-class echo_executor : public sidecar::target_port
+class echo_executor : public sidecar::run_executor
 {
 public:
-    explicit echo_executor(sidecar::gate_keeper& admission)
+    explicit echo_executor(sidecar::admission_controller& admission)
         : m_admission(admission)
     {
     }
@@ -56,7 +56,7 @@
     }
 
 private:
-    sidecar::gate_keeper& m_admission;
+    sidecar::admission_controller& m_admission;
     std::vector<std::thread> m_workers;
 };
 
@@ -66,7 +66,7 @@
     runtime::system_clock clock;
     runtime::metrics counters;
     configuration::config_store store{counters};
-    sidecar::gate_keeper admission{
+    sidecar::admission_controller admission{
         {"t1", 11, clock.now()}, {2s, 100, 1024}, clock, counters};
     sidecar::link_server server{
         {"127.0.0.1", 28902}, "t1", admission, store, counters};
@@ -74,7 +74,7 @@
 
     sidecar_fixture()
     {
-        admission.set_ports(server, executor);
+        admission.set_outputs(server, executor);
         store.add_listener([this](const configuration::snapshot_ptr& snapshot)
                            { admission.configure(snapshot); });
         store.offer(manifest_text, configuration::source::service);
--- a/tests/link/poison_path_test.cpp
+++ b/tests/link/poison_path_test.cpp
@@ -2,7 +2,7 @@
 #include "entry/pipeline_runner.hpp"
 #include "manifest/parse.hpp"
 #include "runtime/clock.hpp"
-#include "sidecar/gate_keeper.hpp"
+#include "sidecar/admission_controller.hpp"
 #include "sidecar/link_server.hpp"
 #include "sidecar/target_caller.hpp"
 #include "support/ending_target.hpp"
@@ -57,7 +57,7 @@
                 target_id(number), admission, store, counters),
           caller({"127.0.0.1", target.port()}, 2, admission, clock, counters)
     {
-        admission.set_ports(links, caller);
+        admission.set_outputs(links, caller);
         store.add_listener([this](const configuration::snapshot_ptr& snapshot)
                            { admission.configure(snapshot); });
         store.offer(manifest_text(), configuration::source::service);
@@ -75,7 +75,7 @@
     runtime::metrics counters;
     tests::ending_target target;
     configuration::config_store store{counters};
-    sidecar::gate_keeper admission;
+    sidecar::admission_controller admission;
     sidecar::link_server links;
     sidecar::target_caller caller;
 };
