--- a/packages/sidecar/admission_controller.hpp
+++ b/packages/sidecar/admission_controller.hpp
@@ -43,8 +43,10 @@
     /// permanently if no pool contains the target.
     void configure(const configuration::snapshot_ptr& snapshot);
 
-    /// Returns a new grant for \a link, with the load of the target.
+    /// Returns a new grant for \a link, if the gate issues one, and the state
+    /// of the target.
     grant_notice renew_grant(decision::link_id link);
+
     /// Returns a ticket, or nothing if the target is leaving or not
     /// configured.
     std::optional<decision::ticket> mint_ticket();
