--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -18,7 +18,7 @@
 #include "serving/dialect.hpp"
 #include "serving/node_settings.hpp"
 #include "serving/piece_maker.hpp"
-#include "serving/target_links.hpp"
+#include "serving/target_connection_pool.hpp"
 
 #include <cstdint>
 #include <functional>
@@ -90,7 +90,7 @@
     /// Until when requests wait for what this process has not read yet: its
     /// first configuration, and a first target of their service.
     instant requests_wait_until{};
-    target_links links;
+    target_connection_pool links;
     decision::target_standing standing;
     decision::engine_selector engines;
     decision::quarantine quarantine;
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -122,7 +122,7 @@
         error_code ignored; // Nobody cancels it.
         timer.expires_after(tidy_interval);
         co_await timer.async_wait(into(ignored));
-        m_context.links.drop_old();
+        m_context.links.close_expired();
         // A watch can wait for seconds, which a target that is gone must not.
         m_context.directory.expire(m_context.now());
         m_context.cold.expire(m_context.now());
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -242,7 +242,7 @@
     const decision::target_start id = target->start;
     m_call = std::make_shared<target_call>(
         m_context.links, m_context.speech,
-        call_target{id, runtime::address::parse(target->address)});
+        call_destination{id, runtime::address::parse(target->address)});
     http_request forwarded_request;
     // Assigning the fields also overwrites method and path, so those are set
     // afterwards.
@@ -256,9 +256,9 @@
     m_sent_at = began;
     if (!is_retry)
         m_context.routes[m_route->name].before.add(began - m_started_at);
-    const auto begin_result = co_await m_call->begin(
+    const auto begin_result = co_await m_call->send_request(
         forwarded_request, m_facts.id, attempt_timeout());
-    if (begin_result == target_call::state::good)
+    if (begin_result == target_call::outcome::ok)
     {
         note_alive(m_context, id, m_call->opened_at());
         m_context.cold.note_answered(id, m_context.warm_up_of(m_service).time,
@@ -270,7 +270,7 @@
         m_call->abort();
         m_context.standing.note_left(id);
     }
-    else if (begin_result != target_call::state::good)
+    else if (begin_result != target_call::outcome::ok)
         end = handle_failed_attempt(begin_result, id);
     else if (m_call->facts().has_not_run)
         end = handle_not_run(*m_call);
@@ -283,39 +283,39 @@
                                                  500);
     }
     record_attempt_end(id);
-    m_call->finish();
+    m_call->release_connection();
     m_call.reset();
     co_return end;
 }
 
 exchange::attempt_outcome
-exchange::handle_failed_attempt(target_call::state result,
+exchange::handle_failed_attempt(target_call::outcome result,
                                 const decision::target_start& target)
 {
     const instant now = m_context.now();
     m_call->abort();
-    const bool is_unsent = result == target_call::state::not_sent;
+    const bool is_unsent = result == target_call::outcome::not_sent;
     if (is_unsent)
         m_sends->note_not_run();
     if (is_engine_service())
         m_context.engines.note_failed(target, false, now);
     else
         m_context.standing.note_silent(target, now);
-    const bool may_have_ended = result == target_call::state::not_sent ||
-                                result == target_call::state::broken;
+    const bool may_have_ended = result == target_call::outcome::not_sent ||
+                                result == target_call::outcome::connection_lost;
     if (may_have_ended &&
         m_context.warm_up_of(m_service).time > duration::zero())
         m_context.cold.note_lost(target, now);
     m_is_outcome_recorded = true;
     switch (result)
     {
-    case target_call::state::not_sent:
+    case target_call::outcome::not_sent:
         m_refusal = refusal::no_target;
         break;
-    case target_call::state::timed_out:
+    case target_call::outcome::timed_out:
         m_refusal = refusal::target_silent;
         break;
-    case target_call::state::spoiled:
+    case target_call::outcome::invalid_answer:
         m_refusal = refusal::answer_spoiled;
         break;
     default:
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -19,7 +19,7 @@
 
 /// Part of the caller's time budget that is reserved for the answer's network
 /// transit.
-constexpr duration answer_way = std::chrono::milliseconds(20);
+constexpr duration answer_transit_time = std::chrono::milliseconds(20);
 
 /// Why this process answers a request itself instead of relaying the answer of
 /// a target.
@@ -98,7 +98,7 @@
     awaitable<attempt_outcome> relay_buffered_answer(target_call& call);
     awaitable<attempt_outcome> relay_event_stream(target_call& call);
     awaitable<bool> send_events(target_call& call, std::string events);
-    attempt_outcome handle_failed_attempt(target_call::state result,
+    attempt_outcome handle_failed_attempt(target_call::outcome result,
                                           const decision::target_start& target);
     /// Returns whether the quarantine refuses the request, after waiting for
     /// its verdict.
--- a/packages/serving/exchange_admission.cpp
+++ b/packages/serving/exchange_admission.cpp
@@ -87,7 +87,8 @@
     }
     duration time_limit = m_route->timeout;
     if (m_facts.budget)
-        time_limit = std::min(time_limit, *m_facts.budget - answer_way);
+        time_limit =
+            std::min(time_limit, *m_facts.budget - answer_transit_time);
     m_deadline = m_started_at + time_limit;
     if (is_declined_while_draining())
     {
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -53,13 +53,13 @@
 {
     while (!call.is_complete())
     {
-        const auto result = co_await call.more(remaining_time());
+        const auto result = co_await call.read_more(remaining_time());
         if (m_session->has_left())
         {
             call.abort();
             co_return attempt_outcome::given_up;
         }
-        if (result != target_call::state::good)
+        if (result != target_call::outcome::ok)
             co_return handle_failed_attempt(result, call.target().start);
     }
     const unsigned status = call.head().result_int();
@@ -159,13 +159,13 @@
         }
         if (call.is_complete())
             break;
-        const auto result = co_await call.more(remaining_time());
+        const auto result = co_await call.read_more(remaining_time());
         if (m_session->has_left())
         {
             call.abort();
             co_return attempt_outcome::given_up;
         }
-        if (result == target_call::state::good)
+        if (result == target_call::outcome::ok)
             note_alive(m_context, call.target().start, call.opened_at());
         else
         {
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -39,8 +39,8 @@
     const instant latest_end = m_deadline - generation_time;
     return m_route->patience == duration::zero()
                ? latest_end
-               : std::min(latest_end,
-                          m_started_at + m_route->patience - answer_way);
+               : std::min(latest_end, m_started_at + m_route->patience -
+                                          answer_transit_time);
 }
 
 // The engine that gets the request fetches the stage results. Its zone is
--- a/packages/serving/frame_socket.cpp
+++ b/packages/serving/frame_socket.cpp
@@ -65,22 +65,22 @@
 // Bulk data must not delay urgent frames: an answer queued behind a whole
 // catalog on a narrow link arrives after the deadline of its request, and the
 // entry that sent it counts as silent until then.
-void frame_socket::send_in_parts(part_source parts)
+void frame_socket::start_bulk_transfer(part_source parts)
 {
-    m_parts = std::move(parts);
+    m_bulk_parts = std::move(parts);
     if (m_socket.is_open() && m_writing.empty())
         write_next();
 }
 
 void frame_socket::write_next()
 {
-    if (m_queued.empty() && m_parts)
+    if (m_queued.empty() && m_bulk_parts)
     {
         peer::Frame part;
-        if (m_parts(part))
+        if (m_bulk_parts(part))
             queue(part);
         else
-            m_parts = nullptr;
+            m_bulk_parts = nullptr;
     }
     if (m_queued.empty())
         return;
--- a/packages/serving/frame_socket.hpp
+++ b/packages/serving/frame_socket.hpp
@@ -29,13 +29,16 @@
 
     /// Starts a bulk transfer of \a parts, which replaces a transfer in
     /// progress. A part is sent only while no other frame is queued.
-    void send_in_parts(part_source parts);
+    void start_bulk_transfer(part_source parts);
 
     /// Whether a bulk transfer is in progress.
-    bool is_sending_parts() const { return is_open() && m_parts != nullptr; }
+    bool is_bulk_transfer_active() const
+    {
+        return is_open() && m_bulk_parts != nullptr;
+    }
 
     /// Stops the bulk transfer in progress.
-    void drop_parts() { m_parts = nullptr; }
+    void stop_bulk_transfer() { m_bulk_parts = nullptr; }
 
     /// Returns the number of bytes received.
     std::uint64_t bytes_read() const { return m_bytes_read; }
@@ -55,7 +58,7 @@
     std::string m_received;
     std::string m_queued;
     std::string m_writing;
-    part_source m_parts;
+    part_source m_bulk_parts;
     std::uint64_t m_bytes_read = 0;
     std::array<char, 16384> m_read_buffer{};
 };
--- a/packages/serving/gatherer.cpp
+++ b/packages/serving/gatherer.cpp
@@ -163,19 +163,20 @@
     const instant began = m_context.now();
     const auto sent = std::make_shared<target_call>(
         m_context.links, m_context.speech,
-        call_target{target->start, runtime::address::parse(target->address)});
+        call_destination{target->start,
+                         runtime::address::parse(target->address)});
     const http_request request =
         m_context.speech.make_pieces(plan.target.id, orders(one, plan));
     const duration most = plan.expected_time * most_times + most_more;
     start(m_context.loop, note_fetched(service, plan, fetch_time(one, plan)));
-    auto got = co_await sent->begin(request, {}, most);
-    while (got == target_call::state::good && !sent->is_complete())
-        got = co_await sent->more(most);
+    auto got = co_await sent->send_request(request, {}, most);
+    while (got == target_call::outcome::ok && !sent->is_complete())
+        got = co_await sent->read_more(most);
     const instant now = m_context.now();
     const bool is_full =
-        got == target_call::state::good && sent->facts().has_not_run;
+        got == target_call::outcome::ok && sent->facts().has_not_run;
     constexpr unsigned ok = 200;
-    if (got == target_call::state::good && sent->head().result_int() == ok)
+    if (got == target_call::outcome::ok && sent->head().result_int() == ok)
     {
         one.planner.note_call_answered(plan, now - began, now);
         note_alive(m_context, plan.target, sent->opened_at());
@@ -192,17 +193,17 @@
                 .warn();
             lose(one, plan);
         }
-        sent->finish();
+        sent->release_connection();
     }
     else
     {
-        const bool is_unsent = got == target_call::state::not_sent;
+        const bool is_unsent = got == target_call::outcome::not_sent;
         if (is_full || is_unsent)
             one.planner.note_call_failed(plan, is_full, now);
         else
             one.planner.note_call_unanswered(plan, now);
         m_context.count("calls_failed", "why", is_full ? "full" : "lost");
-        if (got == target_call::state::broken)
+        if (got == target_call::outcome::connection_lost)
         {
             note_target_ends(one, plan, began);
             one.planner.note_suspected_crash(plan);
@@ -215,7 +216,7 @@
                 .with("after_ms", whole_milliseconds(now - began))
                 .warn();
         is_full ? put_back(one, plan) : lose(one, plan);
-        is_full ? sent->finish() : sent->abort();
+        is_full ? sent->release_connection() : sent->abort();
     }
     one.pieces += plan.pieces.size();
     ++one.calls;
@@ -248,16 +249,16 @@
             continue;
         const auto sent = std::make_shared<target_call>(
             m_context.links, m_context.speech,
-            call_target{maker, runtime::address::parse(where)});
-        auto got = co_await sent->begin(
+            call_destination{maker, runtime::address::parse(where)});
+        auto got = co_await sent->send_request(
             m_context.speech.release_results(handles), {}, most_more);
-        while (got == target_call::state::good && !sent->is_complete())
-            got = co_await sent->more(most_more);
-        if (got != target_call::state::good)
+        while (got == target_call::outcome::ok && !sent->is_complete())
+            got = co_await sent->read_more(most_more);
+        if (got != target_call::outcome::ok)
             m_context.count("releases", "how", "lost");
         for (const std::string& handle : handles)
             one.planner.note_released(maker, handle);
-        sent->finish();
+        sent->release_connection();
     }
 }
 
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -103,7 +103,7 @@
                   {
                       const frame_socket_ptr other = one.lock();
                       return !other || other == socket ||
-                             !other->is_sending_parts();
+                             !other->is_bulk_transfer_active();
                   });
     if (m_copied_to.size() >= most_copies)
         return false;
@@ -115,7 +115,7 @@
                             const frame_socket_ptr& socket)
 {
     if (!want.targets() && !want.catalog())
-        return socket->drop_parts();
+        return socket->stop_bulk_transfer();
     peer::Frame reply;
     if (want.in_parts() && !admits_copy(socket))
     {
@@ -125,12 +125,12 @@
         return socket->send(reply);
     }
     if (want.targets())
-        return socket->send_in_parts(target_parts(m_context.directory));
+        return socket->start_bulk_transfer(target_parts(m_context.directory));
     const auto text = m_catalog_text();
     if (!text)
         return;
     if (want.in_parts())
-        return socket->send_in_parts(catalog_parts(text));
+        return socket->start_bulk_transfer(catalog_parts(text));
     reply.mutable_catalog()->set_text(*text);
     socket->send(reply);
 }
--- a/packages/serving/source_reader.cpp
+++ b/packages/serving/source_reader.cpp
@@ -83,11 +83,11 @@
 
 // An answer that grows is not given up, whatever its size: asked for again it
 // would come no sooner and fill the link twice.
-awaitable<target_call::state>
+awaitable<target_call::outcome>
 source_reader::read_body(target_call& call, instant began, duration most)
 {
-    auto got = target_call::state::good;
-    while (got == target_call::state::good && !call.is_complete())
+    auto got = target_call::outcome::ok;
+    while (got == target_call::outcome::ok && !call.is_complete())
     {
         const duration earned =
             std::chrono::duration_cast<duration>(std::chrono::duration<double>(
@@ -95,7 +95,8 @@
         const instant end = began + most + earned;
         const std::size_t before = call.received_bytes();
         const duration left = until(end, m_context.now());
-        got = co_await call.more(std::clamp(left, duration(1), longest_gap));
+        got =
+            co_await call.read_more(std::clamp(left, duration(1), longest_gap));
         if (call.received_bytes() > before)
             m_received_at = m_context.now();
     }
@@ -108,15 +109,15 @@
     status = 0;
     const auto sent = std::make_shared<target_call>(
         m_context.links, m_context.speech,
-        call_target{"source", m_context.settings.source});
+        call_destination{"source", m_context.settings.source});
     m_asked = sent;
     const instant began = m_context.now();
-    auto got = co_await sent->begin(request, {}, most);
-    if (got == target_call::state::good)
+    auto got = co_await sent->send_request(request, {}, most);
+    if (got == target_call::outcome::ok)
         got = co_await read_body(*sent, began, most);
     m_received_at.reset();
     m_last_status = 0;
-    if (got != target_call::state::good)
+    if (got != target_call::outcome::ok)
     {
         const std::size_t received = sent->received_bytes();
         if (received > 0)
@@ -130,7 +131,7 @@
     status = sent->head().result_int();
     m_last_status = status;
     std::string body = sent->take_body();
-    sent->finish();
+    sent->release_connection();
     co_return body;
 }
 
--- a/packages/serving/source_reader.hpp
+++ b/packages/serving/source_reader.hpp
@@ -42,8 +42,8 @@
 private:
     awaitable<std::optional<std::string>> ask(http_request request,
                                               duration most, unsigned& status);
-    awaitable<target_call::state> read_body(target_call& call, instant began,
-                                            duration most);
+    awaitable<target_call::outcome> read_body(target_call& call, instant began,
+                                              duration most);
     awaitable<bool> read_declarations();
     awaitable<bool> read_page();
     awaitable<bool> read_next();
--- a/packages/serving/target_call.cpp
+++ b/packages/serving/target_call.cpp
@@ -21,12 +21,13 @@
 /// arrives as a whole can take this much memory.
 constexpr std::uint64_t max_body_bytes = 64ULL << 20U;
 
-using connection_state = target_connection::state;
+using connection_outcome = target_connection::outcome;
 
-target_call::state to_call_state(connection_state value)
+target_call::outcome to_call_outcome(connection_outcome value)
 {
-    return value == connection_state::timed_out ? target_call::state::timed_out
-                                                : target_call::state::broken;
+    return value == connection_outcome::timed_out
+               ? target_call::outcome::timed_out
+               : target_call::outcome::connection_lost;
 }
 
 } // namespace
@@ -40,45 +41,46 @@
         m_parser->skip(true);
 }
 
-awaitable<target_call::state> target_call::connect(duration most)
+awaitable<target_call::outcome> target_call::connect(duration timeout)
 {
-    m_connection = m_links.take_idle(m_target.start);
+    m_connection = m_pool.take_idle(m_target.start);
     if (m_connection)
-        co_return state::good;
-    m_connection = m_links.make();
+        co_return outcome::ok;
+    m_connection = m_pool.create();
     const auto result = co_await m_connection->open(
-        m_target.where, std::min(most, connect_timeout));
-    if (result != connection_state::good || m_is_aborted)
-        co_return state::not_sent;
-    co_return state::good;
+        m_target.address, std::min(timeout, connect_timeout));
+    if (result != connection_outcome::ok || m_is_aborted)
+        co_return outcome::not_sent;
+    co_return outcome::ok;
 }
 
-awaitable<target_call::state> target_call::begin(const http_request& request,
-                                                 std::string id, duration most)
+awaitable<target_call::outcome>
+target_call::send_request(const http_request& request, std::string id,
+                          duration timeout)
 {
     const auto self = shared_from_this();
     m_id = std::move(id);
     m_has_no_body = request.method() == http::verb::head;
-    if (co_await connect(most) != state::good)
-        co_return state::not_sent;
-    m_connection->send(to_bytes(request, m_target.where.text()));
+    if (co_await connect(timeout) != outcome::ok)
+        co_return outcome::not_sent;
+    m_connection->send(to_bytes(request, m_target.address.text()));
     reset_parser();
-    co_return co_await read_head(most);
+    co_return co_await read_head(timeout);
 }
 
-awaitable<target_call::state> target_call::read_head(duration most)
+awaitable<target_call::outcome> target_call::read_head(duration timeout)
 {
     for (;;)
     {
         while (!m_parser->is_header_done())
         {
-            if (parse() == state::spoiled)
-                co_return state::spoiled;
+            if (parse() == outcome::invalid_answer)
+                co_return outcome::invalid_answer;
             if (m_parser->is_header_done())
                 break;
-            const auto result = co_await m_connection->read(most);
-            if (result != connection_state::good)
-                co_return to_call_state(result);
+            const auto result = co_await m_connection->read(timeout);
+            if (result != connection_outcome::ok)
+                co_return to_call_outcome(result);
         }
         if (m_parser->get().result_int() < 200)
         {
@@ -87,9 +89,9 @@
         }
         m_facts = m_dialect.answer(m_parser->get());
         if (!is_stray_answer())
-            co_return state::good;
-        const state passed = co_await skip_stray_answer(most);
-        if (passed != state::good)
+            co_return outcome::ok;
+        const outcome passed = co_await skip_stray_answer(timeout);
+        if (passed != outcome::ok)
             co_return passed;
     }
 }
@@ -102,19 +104,19 @@
     return !m_id.empty() && !m_facts.id.empty() && m_facts.id != m_id;
 }
 
-awaitable<target_call::state> target_call::skip_stray_answer(duration most)
+awaitable<target_call::outcome> target_call::skip_stray_answer(duration timeout)
 {
     while (!m_parser->is_done())
     {
-        const state result = co_await more(most);
-        if (result != state::good)
+        const outcome result = co_await read_more(timeout);
+        if (result != outcome::ok)
             co_return result;
     }
     reset_parser();
-    co_return state::good;
+    co_return outcome::ok;
 }
 
-target_call::state target_call::parse()
+target_call::outcome target_call::parse()
 {
     std::string& bytes = m_connection->received();
     while (!bytes.empty() && !m_parser->is_done())
@@ -123,34 +125,35 @@
         const std::size_t used = m_parser->put(asio::buffer(bytes), fault);
         bytes.erase(0, used);
         if (fault == http::error::need_more)
-            return state::good;
+            return outcome::ok;
         if (fault)
-            return state::spoiled;
+            return outcome::invalid_answer;
         if (used == 0)
-            return state::good;
+            return outcome::ok;
     }
-    return state::good;
+    return outcome::ok;
 }
 
-target_call::state target_call::parse_end()
+target_call::outcome target_call::parse_end()
 {
     error_code fault;
     m_parser->put_eof(fault);
-    return fault || !m_parser->is_done() ? state::broken : state::good;
+    return fault || !m_parser->is_done() ? outcome::connection_lost
+                                         : outcome::ok;
 }
 
-awaitable<target_call::state> target_call::more(duration most)
+awaitable<target_call::outcome> target_call::read_more(duration timeout)
 {
     const auto self = shared_from_this();
     if (m_parser->is_done())
-        co_return state::good;
-    const auto result = co_await m_connection->read(most);
+        co_return outcome::ok;
+    const auto result = co_await m_connection->read(timeout);
     // An answer without a length is complete only if the target closed the
     // connection in order; a reset leaves it incomplete.
-    if (result == connection_state::ended && !m_is_aborted)
+    if (result == connection_outcome::closed_by_peer && !m_is_aborted)
         co_return parse_end();
-    if (result != connection_state::good)
-        co_return to_call_state(result);
+    if (result != connection_outcome::ok)
+        co_return to_call_outcome(result);
     co_return parse();
 }
 
@@ -159,7 +162,7 @@
     return std::exchange(m_parser->get().body(), {});
 }
 
-void target_call::finish()
+void target_call::release_connection()
 {
     if (!m_connection)
         return;
@@ -174,7 +177,7 @@
     const duration idle = m_facts.idle_time
                               ? std::min(*m_facts.idle_time / 2, max_idle_time)
                               : default_idle_time;
-    m_links.give_back(m_target.start, std::move(m_connection), idle);
+    m_pool.put_back(m_target.start, std::move(m_connection), idle);
     m_connection.reset();
 }
 
--- a/packages/serving/target_call.hpp
+++ b/packages/serving/target_call.hpp
@@ -2,7 +2,7 @@
 
 #include "runtime/address.hpp"
 #include "serving/dialect.hpp"
-#include "serving/target_links.hpp"
+#include "serving/target_connection_pool.hpp"
 
 #include <memory>
 #include <optional>
@@ -12,12 +12,13 @@
 {
 
 /// The target of a call: one start of a target process and its address.
-struct call_target
+struct call_destination
 {
     decision::target_start start;
-    runtime::address where;
+    runtime::address address;
 
-    friend bool operator==(const call_target&, const call_target&) = default;
+    friend bool operator==(const call_destination&,
+                           const call_destination&) = default;
 };
 
 /// Sends one request to one target and reads its answer as it arrives. Uses an
@@ -26,29 +27,30 @@
 {
 public:
     /// Result of a step of the call.
-    enum class state : std::uint8_t
+    enum class outcome : std::uint8_t
     {
-        good,
-        not_sent, ///< No byte was sent, so the request has not run.
-        broken,   ///< The connection was lost; the request may have run.
+        ok,
+        not_sent,        ///< No byte was sent, so the request has not run.
+        connection_lost, ///< The connection was lost; the request may have run.
         timed_out,
-        spoiled ///< The bytes received are no valid HTTP answer.
+        invalid_answer ///< The bytes received are no valid HTTP answer.
     };
 
-    target_call(target_links& links, const dialect& speech, call_target target)
-        : m_links(links), m_dialect(speech), m_target(std::move(target))
+    target_call(target_connection_pool& pool, const dialect& used_dialect,
+                call_destination target)
+        : m_pool(pool), m_dialect(used_dialect), m_target(std::move(target))
     {
     }
 
     /// Sends \a request and reads the head of its answer. Each wait for the
-    /// target is limited to \a most. Answers with another request id than \a id
-    /// are skipped.
-    awaitable<state> begin(const http_request& request, std::string id,
-                           duration most);
+    /// target is limited to \a timeout. Answers with another request id than \a
+    /// id are skipped.
+    awaitable<outcome> send_request(const http_request& request, std::string id,
+                                    duration timeout);
 
     /// Reads more of the answer's body unless it is complete; waits at most
-    /// \a most.
-    awaitable<state> more(duration most);
+    /// \a timeout.
+    awaitable<outcome> read_more(duration timeout);
 
     const http_answer_head& head() const { return m_parser->get(); }
     const answer_facts& facts() const { return m_facts; }
@@ -63,12 +65,12 @@
     bool is_complete() const { return m_parser && m_parser->is_done(); }
 
     /// Returns the connection to the pool if it is reusable, else closes it.
-    void finish();
+    void release_connection();
 
     /// Closes the connection at once, so that the target stops its work.
     void abort();
 
-    const call_target& target() const { return m_target; }
+    const call_destination& target() const { return m_target; }
 
     /// Returns when connecting was requested, for a reused connection the time
     /// of its first request.
@@ -80,17 +82,17 @@
 private:
     using parser = http::response_parser<http::string_body>;
 
-    awaitable<state> connect(duration most);
-    awaitable<state> read_head(duration most);
-    awaitable<state> skip_stray_answer(duration most);
-    state parse();
-    state parse_end();
+    awaitable<outcome> connect(duration timeout);
+    awaitable<outcome> read_head(duration timeout);
+    awaitable<outcome> skip_stray_answer(duration timeout);
+    outcome parse();
+    outcome parse_end();
     void reset_parser();
     bool is_stray_answer() const;
 
-    target_links& m_links;
+    target_connection_pool& m_pool;
     const dialect& m_dialect;
-    call_target m_target;
+    call_destination m_target;
     connection_ptr m_connection;
     std::optional<parser> m_parser;
     answer_facts m_facts;
--- a/packages/serving/target_connection.cpp
+++ b/packages/serving/target_connection.cpp
@@ -10,10 +10,10 @@
 {
 }
 
-void target_connection::start_timeout(duration most)
+void target_connection::start_timeout(duration timeout)
 {
     const std::uint64_t step = ++m_step;
-    m_timeout.expires_after(most);
+    m_timeout.expires_after(timeout);
     m_timeout.async_wait(
         [weak = weak_from_this(), step](const error_code& fault)
         {
@@ -25,26 +25,28 @@
         });
 }
 
-target_connection::state target_connection::finish_step(const error_code& fault)
+target_connection::outcome
+target_connection::finish_step(const error_code& fault)
 {
     ++m_step;
     m_timeout.cancel();
     if (!fault)
-        return state::good;
+        return outcome::ok;
     if (m_is_timed_out)
-        return state::timed_out;
-    return fault == asio::error::eof ? state::ended : state::broken;
+        return outcome::timed_out;
+    return fault == asio::error::eof ? outcome::closed_by_peer
+                                     : outcome::failed;
 }
 
-awaitable<target_connection::state>
-target_connection::open(const runtime::address& to, duration most)
+awaitable<target_connection::outcome>
+target_connection::open(const runtime::address& to, duration timeout)
 {
     const auto self = shared_from_this();
     error_code fault;
     const auto ip = asio::ip::make_address_v4(to.host, fault);
     if (fault)
-        co_return state::broken;
-    start_timeout(most);
+        co_return outcome::failed;
+    start_timeout(timeout);
     const tcp::endpoint target_endpoint(ip, to.port);
     co_await m_socket.async_connect(target_endpoint, into(fault));
     if (!fault)
@@ -69,18 +71,18 @@
         });
 }
 
-awaitable<target_connection::state> target_connection::read(duration most)
+awaitable<target_connection::outcome> target_connection::read(duration timeout)
 {
     const auto self = shared_from_this();
     error_code fault;
-    start_timeout(most);
+    start_timeout(timeout);
     const std::size_t count = co_await m_socket.async_read_some(
         asio::buffer(m_read_buffer), into(fault));
     m_received.append(m_read_buffer.data(), count);
     co_return finish_step(fault);
 }
 
-bool target_connection::is_quiet()
+bool target_connection::is_reusable()
 {
     if (!m_socket.is_open() || !m_received.empty() || m_is_sending)
         return false;
--- a/packages/serving/target_connection.hpp
+++ b/packages/serving/target_connection.hpp
@@ -16,18 +16,18 @@
 {
 public:
     /// Result of a connect or read.
-    enum class state : std::uint8_t
+    enum class outcome : std::uint8_t
     {
-        good,
-        ended,    ///< The target closed the connection in order.
-        broken,   ///< Refused, reset, or closed by this process.
-        timed_out ///< Closed by this process after a timeout.
+        ok,
+        closed_by_peer, ///< The target closed the connection in order.
+        failed,         ///< Refused, reset, or closed by this process.
+        timed_out       ///< Closed by this process after a timeout.
     };
 
     explicit target_connection(asio::io_context& loop);
 
-    /// Connects to \a to within \a most.
-    awaitable<state> open(const runtime::address& to, duration most);
+    /// Connects to \a to within \a timeout.
+    awaitable<outcome> open(const runtime::address& to, duration timeout);
 
     /// Sends \a bytes in the background, so that the answer can be read before
     /// the target has received all of a long body.
@@ -36,14 +36,14 @@
     /// Whether all bytes were passed to the kernel.
     bool is_sent() const { return !m_is_sending; }
 
-    /// Waits at most \a most for bytes and appends them to received().
-    awaitable<state> read(duration most);
+    /// Waits at most \a timeout for bytes and appends them to received().
+    awaitable<outcome> read(duration timeout);
 
     /// Returns the received bytes that were not consumed yet.
     std::string& received() { return m_received; }
 
     /// Whether the idle connection is open and received no unexpected bytes.
-    bool is_quiet();
+    bool is_reusable();
 
     void close();
     bool is_open() const { return m_socket.is_open(); }
@@ -52,8 +52,8 @@
     instant usable_until{}; ///< End of its idle time in the pool.
 
 private:
-    void start_timeout(duration most);
-    state finish_step(const error_code& fault);
+    void start_timeout(duration timeout);
+    outcome finish_step(const error_code& fault);
 
     tcp::socket m_socket;
     loop_timer m_timeout;
--- a/packages/serving/target_links.cpp
+++ b/packages/serving/target_connection_pool.cpp
@@ -1,11 +1,12 @@
-#include "serving/target_links.hpp"
+#include "serving/target_connection_pool.hpp"
 
 #include <algorithm>
 
 namespace mangofold::serving
 {
 
-connection_ptr target_links::take_idle(const decision::target_start& id)
+connection_ptr
+target_connection_pool::take_idle(const decision::target_start& id)
 {
     const auto found = m_idle.find(id);
     if (found == m_idle.end())
@@ -18,20 +19,21 @@
         idle.pop_back();
         // After unexpected bytes or a close it is unclear which request the
         // next answer on this connection would belong to.
-        if (connection->usable_until > now && connection->is_quiet())
+        if (connection->usable_until > now && connection->is_reusable())
             return connection;
     }
     return nullptr;
 }
 
-void target_links::give_back(const decision::target_start& id,
-                             connection_ptr connection, duration idle_time)
+void target_connection_pool::put_back(const decision::target_start& id,
+                                      connection_ptr connection,
+                                      duration idle_time)
 {
     connection->usable_until = m_clock.now() + idle_time;
     m_idle[id].push_back(std::move(connection));
 }
 
-void target_links::drop_old()
+void target_connection_pool::close_expired()
 {
     const instant now = m_clock.now();
     for (auto entry = m_idle.begin(); entry != m_idle.end();)
--- a/packages/serving/target_links.hpp
+++ b/packages/serving/target_connection_pool.hpp
@@ -12,10 +12,10 @@
 {
 
 /// Pool of idle connections to targets, by target.
-class target_links
+class target_connection_pool
 {
 public:
-    target_links(asio::io_context& loop, const runtime::clock& time)
+    target_connection_pool(asio::io_context& loop, const runtime::clock& time)
         : m_loop(loop), m_clock(time)
     {
     }
@@ -24,7 +24,7 @@
     connection_ptr take_idle(const decision::target_start& id);
 
     /// Returns a new connection that is not open yet.
-    connection_ptr make() const
+    connection_ptr create() const
     {
         auto connection = std::make_shared<target_connection>(m_loop);
         connection->opened_at = m_clock.now();
@@ -32,14 +32,14 @@
     }
 
     /// Keeps \a connection for reuse within \a idle_time.
-    void give_back(const decision::target_start& id, connection_ptr connection,
-                   duration idle_time);
+    void put_back(const decision::target_start& id, connection_ptr connection,
+                  duration idle_time);
 
     /// Closes the idle connections to the target \a id.
-    void drop(const decision::target_start& id) { m_idle.erase(id); }
+    void close_idle(const decision::target_start& id) { m_idle.erase(id); }
 
     /// Closes the connections whose idle time has ended.
-    void drop_old();
+    void close_expired();
 
 private:
     asio::io_context& m_loop;
--- a/tests/link/poison_path_test.cpp
+++ b/tests/link/poison_path_test.cpp
@@ -5,7 +5,7 @@
 #include "sidecar/gate_keeper.hpp"
 #include "sidecar/link_server.hpp"
 #include "sidecar/target_caller.hpp"
-#include "support/ending_target.hpp"
+#include "support/crashing_target.hpp"
 
 #include <doctest/doctest.h>
 
@@ -73,7 +73,7 @@
 
     runtime::system_clock time;
     runtime::metrics counters;
-    tests::ending_target target;
+    tests::crashing_target target;
     configuration::config_store store{counters};
     sidecar::gate_keeper keeper;
     sidecar::link_server links;
@@ -149,7 +149,7 @@
     {
         unsigned sum = 0;
         for (const auto& one : sidecars)
-            sum += one->target.ended();
+            sum += one->target.crash_count();
         return sum;
     }
 
--- a/tests/serving/exchange_test.cpp
+++ b/tests/serving/exchange_test.cpp
@@ -4,28 +4,29 @@
 
 using namespace mangofold::test;
 using namespace std::chrono_literals;
-using end = scripted_target::reaction::end;
+using action = scripted_target::response::connection_action;
 
 namespace
 {
 
-scripted_target::script always(std::string bytes, end then)
+scripted_target::script always_respond(std::string bytes, action after_send)
 {
-    return [bytes = std::move(bytes), then](const std::string&, std::size_t) {
-        return scripted_target::reaction{bytes, then};
+    return [bytes = std::move(bytes), after_send](const std::string&,
+                                                  std::size_t) {
+        return scripted_target::response{bytes, after_send};
     };
 }
 
 } // namespace
 
-TEST_CASE("a request reaches a target and its answer the caller, unchanged")
+TEST_CASE("a request and its answer are relayed unchanged")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
-    const std::string got =
+    const std::string received =
         entry.ask(request("/once/x?y=1", "r1", "Other: o\r\n"), "whole");
-    CHECK(has(got, "HTTP/1.1 200 OK\r\n"));
-    CHECK(has(got, "Seal: s\r\n"));
+    CHECK(has(received, "HTTP/1.1 200 OK\r\n"));
+    CHECK(has(received, "Seal: s\r\n"));
     REQUIRE(target.requests().size() == 1);
     CHECK(has(target.requests()[0], "GET /once/x?y=1 HTTP/1.1\r\n"));
     CHECK(has(target.requests()[0], "Other: o\r\n"));
@@ -34,14 +35,14 @@
     CHECK_FALSE(has(target.requests()[0], "good-key"));
 }
 
-TEST_CASE("connections are kept on both sides")
+TEST_CASE("connections to callers and targets are reused")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
     const auto caller = entry.connect();
-    for (int one = 0; one < 3; ++one)
+    for (int number = 0; number < 3; ++number)
     {
-        const std::string id = "r" + std::to_string(one);
+        const std::string id = "r" + std::to_string(number);
         entry.send(*caller, request("/once/", id));
         entry.run_until([&] { return has(caller->received, "Id: " + id); });
         entry.settle();
@@ -50,8 +51,8 @@
     CHECK_FALSE(caller->is_ended);
 }
 
-// A caller that wants its connection closed after the answer gets none.
-TEST_CASE("a caller that asks for the last answer gets it, and the close")
+// Guards against closing the connection before the answer is sent.
+TEST_CASE("Connection: close is honoured after the answer is sent")
 {
     serving_fixture entry;
     entry.add_target("plain", good);
@@ -61,7 +62,7 @@
     CHECK(has(caller->received, "whole"));
 }
 
-TEST_CASE("what this process refuses")
+TEST_CASE("invalid requests are refused with the matching status")
 {
     serving_fixture entry;
     entry.add_target("plain", good);
@@ -77,17 +78,13 @@
     CHECK(has(entry.ask(request("/once/", "r1")), " 503 "));
 }
 
-// Callers of a process that has just started are refused, and wait for their
-// one retry, although it can serve them a moment later.
-// 1. All entries start at once, so callers come before any of them is ready.
-// 2. The configuration is there some hundredths of a second later. 3. The
-// request was refused in between.
-TEST_CASE(
-    "a request waits for the first configuration of a process that starts")
+// When all entries start at once, requests arrive some hundredths of a second
+// before the configuration. Refusing them would cost each caller its one retry.
+TEST_CASE("a request to a starting process waits for the first configuration")
 {
     serving_fixture entry;
     entry.add_target("plain", good);
-    const auto known = std::exchange(entry.context->catalog, nullptr);
+    const auto catalog = std::exchange(entry.context->catalog, nullptr);
     entry.context->requests_wait_until = entry.time.now() + 500ms;
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
@@ -95,16 +92,15 @@
     CHECK(caller->received.empty());
     entry.time.advance(100ms);
     entry.settle();
-    entry.context->catalog = known;
+    entry.context->catalog = catalog;
     entry.time.advance(50ms);
     entry.run_until([&] { return has(caller->received, "whole"); });
     CHECK(has(caller->received, "200 OK"));
 }
 
-// The same where the list of targets comes in pages, and the first of them
-// names none of the request's service.
-TEST_CASE(
-    "a request of a process that starts waits for a target of its service")
+// The list of targets arrives in pages, and the first page may hold no target
+// of the request's service.
+TEST_CASE("a request to a starting process waits for a target of its service")
 {
     serving_fixture entry;
     entry.context->knows_all_targets = false;
@@ -119,27 +115,26 @@
     CHECK(has(caller->received, "200 OK"));
 }
 
-// The same where the configuration can't be had: nobody is kept waiting, and
-// once that is known nobody waits at all.
+// If the configuration can't be read, requests wait for a limited time after
+// the start, and later requests are refused without waiting.
 TEST_CASE(
-    "a process that has known no configuration for a while refuses at once")
+    "a process refuses requests if the configuration does not arrive in time")
 {
     serving_fixture entry;
     entry.context->catalog = nullptr;
     entry.context->requests_wait_until = entry.time.now() + 500ms;
-    const auto early = entry.connect();
-    entry.send(*early, request("/once/", "r1"));
+    const auto early_caller = entry.connect();
+    entry.send(*early_caller, request("/once/", "r1"));
     entry.settle();
     entry.time.advance(600ms);
-    entry.run_until([&] { return has(early->received, "503"); });
-    CHECK(has(early->received, "Retry-After"));
+    entry.run_until([&] { return has(early_caller->received, "503"); });
+    CHECK(has(early_caller->received, "Retry-After"));
     CHECK(has(entry.ask(request("/once/", "r2")), "503"));
 }
 
-// A second request, of which no caller knows, reaches a target.
-// 1. Two headers disagree about where a body ends. 2. One side takes the rest
-// for a request of its own.
-TEST_CASE("a request with two readings of its end is refused")
+// Guards against request smuggling: if header fields disagree about where a
+// body ends, one side takes the rest of the bytes for another request.
+TEST_CASE("requests with ambiguous body length are refused")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
@@ -161,7 +156,7 @@
     CHECK(target.requests().empty());
 }
 
-TEST_CASE("bodies in chunks reach the target with their length")
+TEST_CASE("chunked request bodies are forwarded with Content-Length")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
@@ -173,137 +168,141 @@
     CHECK(has(target.requests()[0], "Content-Length: 5\r\n\r\nabcde"));
 }
 
-// A voucher is redeemed twice.
-// 1. The target gets the request, and its connection is reset before an
-// answer. 2. Whether it ran is not known. 3. It must go nowhere else, and the
-// caller must not be told that it has not run.
-TEST_CASE("what may not be repeated goes nowhere else after a reset")
+// A request with side effects, such as redeeming a voucher, must not run twice.
+// If the connection is reset before an answer, the request may have run, so it
+// must not be retried, and the caller must not be told that it has not run.
+TEST_CASE("a non-repeatable request is not retried after a reset")
 {
     serving_fixture entry;
-    auto& first = entry.add_target("plain", always("", end::reset));
-    auto& second = entry.add_target("plain", always("", end::reset));
-    const std::string got = entry.ask(request("/once/", "r1"));
-    CHECK(has(got, " 502 "));
-    CHECK_FALSE(has(got, "Retry-After"));
+    auto& first = entry.add_target("plain", always_respond("", action::reset));
+    auto& second = entry.add_target("plain", always_respond("", action::reset));
+    const std::string received = entry.ask(request("/once/", "r1"));
+    CHECK(has(received, " 502 "));
+    CHECK_FALSE(has(received, "Retry-After"));
     CHECK(first.requests().size() + second.requests().size() == 1);
 }
 
-TEST_CASE("what may be repeated goes to another target after a reset")
+TEST_CASE("a repeatable request is retried on another target after a reset")
 {
     serving_fixture entry;
     std::size_t sent = 0;
-    const auto once_reset = [&sent](const std::string& text, std::size_t number)
+    const auto reset_first_request =
+        [&sent](const std::string& text, std::size_t number)
     {
-        return ++sent == 1 ? scripted_target::reaction{"", end::reset}
+        return ++sent == 1 ? scripted_target::response{"", action::reset}
                            : good(text, number);
     };
-    entry.add_target("plain", once_reset);
-    entry.add_target("plain", once_reset);
+    entry.add_target("plain", reset_first_request);
+    entry.add_target("plain", reset_first_request);
     CHECK(has(entry.ask(request("/again/", "r1"), "whole"), " 200 "));
     CHECK(sent == 2);
 }
 
-TEST_CASE("a refusal of the target's own lets another one run it")
+TEST_CASE("a request that a target refuses to run is sent to another target")
 {
     serving_fixture entry;
     std::size_t sent = 0;
-    const auto full = [&sent](const std::string& text, std::size_t number)
+    const auto refuse_first_request =
+        [&sent](const std::string& text, std::size_t number)
     {
         return ++sent == 1
-                   ? scripted_target::reaction{answer("r1", "", "503 Full",
+                   ? scripted_target::response{answer("r1", "", "503 Full",
                                                       "Not-Run: 1\r\n"),
-                                               end::keep}
+                                               action::keep}
                    : good(text, number);
     };
-    entry.add_target("plain", full);
-    entry.add_target("plain", full);
+    entry.add_target("plain", refuse_first_request);
+    entry.add_target("plain", refuse_first_request);
     CHECK(has(entry.ask(request("/once/", "r1"), "whole"), " 200 "));
 }
 
-TEST_CASE("where all targets refuse, the caller is told when to come back")
+TEST_CASE("a caller gets Retry-After if all targets refuse the request")
 {
     serving_fixture entry;
-    const auto full = [](const std::string&, std::size_t)
+    const auto refuse_all = [](const std::string&, std::size_t)
     {
-        return scripted_target::reaction{
-            answer("r1", "", "503 Full", "Not-Run: 1\r\n"), end::keep};
+        return scripted_target::response{
+            answer("r1", "", "503 Full", "Not-Run: 1\r\n"), action::keep};
     };
-    entry.add_target("plain", full);
-    entry.add_target("plain", full);
-    const std::string got = entry.ask(request("/once/", "r1"));
-    CHECK(has(got, " 503 "));
-    CHECK(has(got, "Retry-After: "));
+    entry.add_target("plain", refuse_all);
+    entry.add_target("plain", refuse_all);
+    const std::string received = entry.ask(request("/once/", "r1"));
+    CHECK(has(received, " 503 "));
+    CHECK(has(received, "Retry-After: "));
 }
 
-// A caller gets the answer of somebody else.
-// 1. A target answers a request twice. 2. The second answer arrives when the
-// connection carries another request. 3. It is taken for that one's.
-TEST_CASE("a second answer to an earlier request is passed over")
+// If a target answers a request twice, the second answer arrives while the
+// connection carries the next request. Relaying it would give one caller the
+// answer of another.
+TEST_CASE("a second answer to an earlier request is skipped")
 {
     serving_fixture entry;
     entry.add_target("plain",
                      [](const std::string& text, std::size_t number)
                      {
-                         auto now = good(text, number);
+                         auto response = good(text, number);
                          if (number == 1)
-                             now.bytes = answer("r1", "stray") + now.bytes;
-                         return now;
+                             response.bytes =
+                                 answer("r1", "stray") + response.bytes;
+                         return response;
                      });
     CHECK(has(entry.ask(request("/once/", "r1"), "whole"), "whole"));
-    const std::string got = entry.ask(request("/once/", "r2"), "whole");
-    CHECK(has(got, "Id: r2"));
-    CHECK_FALSE(has(got, "stray"));
+    const std::string received = entry.ask(request("/once/", "r2"), "whole");
+    CHECK(has(received, "Id: r2"));
+    CHECK_FALSE(has(received, "stray"));
 }
 
-TEST_CASE("a connection with bytes after its answer is not used again")
+TEST_CASE("a connection with bytes after the answer is not reused")
 {
     serving_fixture entry;
     auto& target =
         entry.add_target("plain",
                          [](const std::string& text, std::size_t number)
                          {
-                             auto now = good(text, number);
-                             now.bytes += answer("r1", "extra");
-                             return now;
+                             auto response = good(text, number);
+                             response.bytes += answer("r1", "extra");
+                             return response;
                          });
     CHECK_FALSE(has(entry.ask(request("/once/", "r1"), "whole"), "extra"));
     entry.ask(request("/once/", "r2"), "whole");
     CHECK(target.connections() == 2);
 }
 
-TEST_CASE("an answer cut short, spoiled or unsigned is no answer")
+TEST_CASE("truncated, malformed and unsigned answers are rejected")
 {
-    const std::string cut = answer("r1", "whole").substr(0, 57);
+    const std::string truncated = answer("r1", "whole").substr(0, 57);
     const std::string no_length =
         "HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nhalf";
-    for (const auto& [bytes, then] :
-         {std::pair{cut, end::close}, std::pair{cut, end::reset},
-          std::pair{no_length, end::reset},
-          std::pair{std::string("\x01\x02 spoiled\r\n\r\n"), end::close},
-          std::pair{answer("r1", "x", "200 OK", ""), end::keep}})
+    for (const auto& [bytes, after_send] :
+         {std::pair{truncated, action::close},
+          std::pair{truncated, action::reset},
+          std::pair{no_length, action::reset},
+          std::pair{std::string("\x01\x02 spoiled\r\n\r\n"), action::close},
+          std::pair{answer("r1", "x", "200 OK", ""), action::keep}})
     {
         serving_fixture entry;
-        entry.add_target("plain", always(bytes, then));
+        entry.add_target("plain", always_respond(bytes, after_send));
         CAPTURE(bytes);
         CHECK(has(entry.ask(request("/once/", "r1")), " 502 "));
     }
 }
 
-TEST_CASE("an answer without a length ends with an orderly close")
+TEST_CASE("an answer without a length is complete after an orderly close")
 {
     serving_fixture entry;
-    entry.add_target("plain",
-                     always("HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nwhole",
-                            end::close));
-    const std::string got = entry.ask(request("/once/", "r1"), "whole");
-    CHECK(has(got, "Content-Length: 5\r\n"));
+    entry.add_target(
+        "plain",
+        always_respond("HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nwhole",
+                       action::close));
+    const std::string received = entry.ask(request("/once/", "r1"), "whole");
+    CHECK(has(received, "Content-Length: 5\r\n"));
 }
 
-// A caller waits without end for a target that fell silent.
-TEST_CASE("a silent target ends the request at its route's time")
+// Guards against a caller waiting without limit for a silent target.
+TEST_CASE("a request to a silent target ends at the route's timeout")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", always("", end::hang));
+    auto& target = entry.add_target("plain", always_respond("", action::hang));
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
     entry.run_until([&] { return target.requests().size() == 1; });
@@ -312,20 +311,22 @@
     CHECK(caller->received.empty());
     entry.time.advance(200ms);
     entry.run_until([&] { return has(caller->received, " 504 "); });
-    entry.run_until([&] { return target.closed_by_other() == 1; });
+    entry.run_until([&] { return target.closed_by_peer() == 1; });
 }
 
-TEST_CASE("a repeatable request leaves a silent target in time for another")
+TEST_CASE(
+    "a repeatable request leaves a silent target early enough for a retry")
 {
     serving_fixture entry;
     std::size_t sent = 0;
-    const auto silent = [&sent](const std::string& text, std::size_t number)
+    const auto hang_on_first_request =
+        [&sent](const std::string& text, std::size_t number)
     {
-        return ++sent == 1 ? scripted_target::reaction{"", end::hang}
+        return ++sent == 1 ? scripted_target::response{"", action::hang}
                            : good(text, number);
     };
-    entry.add_target("plain", silent);
-    entry.add_target("plain", silent);
+    entry.add_target("plain", hang_on_first_request);
+    entry.add_target("plain", hang_on_first_request);
     const auto caller = entry.connect();
     entry.send(*caller, request("/again/", "r1"));
     entry.run_until([&] { return sent == 1; });
@@ -333,26 +334,25 @@
     entry.run_until([&] { return has(caller->received, "whole"); });
 }
 
-// A target works on for a caller who has gone.
-TEST_CASE("the target's connection closes when the caller leaves")
+// Guards against targets that work on for a caller that has disconnected.
+TEST_CASE("the connection to the target closes when the caller disconnects")
 {
     serving_fixture entry;
-    auto& target = entry.add_target("plain", always("", end::hang));
+    auto& target = entry.add_target("plain", always_respond("", action::hang));
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
     entry.run_until([&] { return target.requests().size() == 1; });
     caller->socket.close();
     entry.settle();
     entry.time.advance(300ms);
-    entry.run_until([&] { return target.closed_by_other() == 1; });
+    entry.run_until([&] { return target.closed_by_peer() == 1; });
 }
 
-// Seen: targets get work of callers who left over a second before.
-// 1. The process stands still, or is behind with its work. 2. A caller sends a
-// request, loses patience and closes its connection. 3. The process goes on,
-// finds both, and sent the request on: a close was only heeded some time
-// after it was read, as if it had just come.
-TEST_CASE("a request whose caller left while the process was behind is dropped")
+// A caller sends a request and disconnects while the process stalls. When the
+// process continues, it reads both. It must not forward the request: a close
+// used to take effect only some time after it was read, so targets got requests
+// whose callers had left over a second before.
+TEST_CASE("a request whose caller left while the process stalled is dropped")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
@@ -366,8 +366,8 @@
     CHECK(target.requests().empty());
 }
 
-// A caller that closes its sending side after its request gets no answer.
-TEST_CASE("a caller that has said all still gets a prompt answer")
+// Guards against treating a half-closed connection as a disconnected caller.
+TEST_CASE("a caller that half-closes its connection still gets an answer")
 {
     serving_fixture entry;
     entry.add_target("plain", good);
@@ -378,28 +378,28 @@
     entry.run_until([&] { return caller->is_ended; });
 }
 
-// A request taken in the last moments of a stop is cut off.
-TEST_CASE("near the end of a stop requests are sent elsewhere before they run")
+// A request accepted shortly before the process ends would be cut off.
+TEST_CASE("requests near the end of a shutdown are refused before they run")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
     entry.context->drain.emplace(entry.time.now() - 3s, 3s, 2);
-    const std::string got = entry.ask(request("/once/", "r1"));
-    CHECK(has(got, " 503 "));
-    CHECK(has(got, "Retry-After"));
+    const std::string received = entry.ask(request("/once/", "r1"));
+    CHECK(has(received, " 503 "));
+    CHECK(has(received, "Retry-After"));
     CHECK(target.requests().empty());
 }
 
-TEST_CASE("a stopping process answers, and closes each connection after")
+TEST_CASE("a stopping process answers and then closes the connection")
 {
     serving_fixture entry;
     entry.add_target("plain", good);
     entry.context->drain.emplace(entry.time.now(), 8s, 2);
-    const std::string got = entry.ask(request("/once/", "r1"), "whole");
-    CHECK(has(got, "Connection: close"));
+    const std::string received = entry.ask(request("/once/", "r1"), "whole");
+    CHECK(has(received, "Connection: close"));
 }
 
-TEST_CASE("a caller that is slow with its head is turned away")
+TEST_CASE("a caller that sends its request head too slowly gets status 408")
 {
     serving_fixture entry;
     const auto caller = entry.connect();
@@ -410,8 +410,8 @@
     entry.run_until([&] { return caller->is_ended; });
 }
 
-// A request goes over a connection to a process that is no more.
-TEST_CASE("no connection to a former start of a target is used")
+// Guards against sending a request on a connection to a former process.
+TEST_CASE("connections to a former start of a target are not reused")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
--- a/tests/serving/frame_socket_test.cpp
+++ b/tests/serving/frame_socket_test.cpp
@@ -12,25 +12,25 @@
 namespace
 {
 
-/// Two ends of one connection.
-struct joined
+/// Both ends of one connection.
+struct connected_sockets
 {
-    joined()
+    connected_sockets()
     {
         tcp::acceptor acceptor(loop, {asio::ip::address_v4::loopback(), 0});
-        tcp::socket far(loop);
-        far.connect(acceptor.local_endpoint());
-        near = std::make_shared<frame_socket>(acceptor.accept());
-        other = std::make_shared<frame_socket>(std::move(far));
+        tcp::socket client(loop);
+        client.connect(acceptor.local_endpoint());
+        sender = std::make_shared<frame_socket>(acceptor.accept());
+        receiver = std::make_shared<frame_socket>(std::move(client));
         start(loop, read());
     }
 
     awaitable<void> read()
     {
-        while (auto frame = co_await other->read())
+        while (auto frame = co_await receiver->read())
         {
             if (frame->content_case() == peer::Frame::kPong)
-                pong_after = parts;
+                parts_before_pong = parts;
             if (frame->content_case() != peer::Frame::kCatalogPart)
                 continue;
             ++parts;
@@ -46,15 +46,15 @@
     }
 
     asio::io_context loop{1};
-    frame_socket_ptr near;
-    frame_socket_ptr other;
+    frame_socket_ptr sender;
+    frame_socket_ptr receiver;
     catalog_collector collector;
     std::optional<std::string> catalog;
     std::size_t parts = 0;
-    std::size_t pong_after = 0;
+    std::size_t parts_before_pong = 0;
 };
 
-std::shared_ptr<const std::string> text_of(std::size_t bytes)
+std::shared_ptr<const std::string> make_text(std::size_t bytes)
 {
     std::string text;
     while (text.size() < bytes)
@@ -62,61 +62,61 @@
     return std::make_shared<const std::string>(std::move(text));
 }
 
-peer::CatalogPart part(std::uint64_t size, std::uint64_t offset,
-                       const std::string& text)
+peer::CatalogPart make_part(std::uint64_t size, std::uint64_t offset,
+                            const std::string& text)
 {
-    peer::CatalogPart made;
-    made.set_size(size);
-    made.set_offset(offset);
-    made.set_text(text);
-    return made;
+    peer::CatalogPart message;
+    message.set_size(size);
+    message.set_offset(offset);
+    message.set_text(text);
+    return message;
 }
 
 } // namespace
 
-// Answers to a fleet's questions and finished pieces come seconds late, since
-// they stand behind a whole catalog on the connection.
-TEST_CASE("what is urgent passes the parts of something large")
+// Guards against answers and finished pieces that arrive seconds late because
+// they are queued behind a whole catalog on the same connection.
+TEST_CASE("urgent frames overtake the parts of a bulk transfer")
 {
-    joined both;
-    const auto text = text_of(8 << 20);
-    both.near->send_in_parts(catalog_parts(text));
-    both.run([&] { return both.parts > 0; });
+    connected_sockets sockets;
+    const auto text = make_text(8 << 20);
+    sockets.sender->start_bulk_transfer(catalog_parts(text));
+    sockets.run([&] { return sockets.parts > 0; });
     peer::Frame pong;
     pong.mutable_pong();
-    both.near->send(pong);
-    both.run([&] { return both.catalog.has_value(); });
-    REQUIRE(both.catalog);
-    CHECK(*both.catalog == *text);
-    CHECK(both.pong_after > 0);
-    CHECK(both.pong_after < both.parts / 2);
+    sockets.sender->send(pong);
+    sockets.run([&] { return sockets.catalog.has_value(); });
+    REQUIRE(sockets.catalog);
+    CHECK(*sockets.catalog == *text);
+    CHECK(sockets.parts_before_pong > 0);
+    CHECK(sockets.parts_before_pong < sockets.parts / 2);
 }
 
-TEST_CASE("parts that are not wanted any more stop")
+TEST_CASE("a stopped bulk transfer sends no more parts")
 {
-    joined both;
-    both.near->send_in_parts(catalog_parts(text_of(8 << 20)));
-    both.run([&] { return both.parts > 0; });
-    both.near->drop_parts();
-    const std::size_t before = both.parts;
-    both.loop.run_for(200ms);
-    CHECK_FALSE(both.catalog);
-    CHECK(both.parts < before + 200);
-    both.near->send_in_parts(catalog_parts(text_of(100000)));
-    both.run([&] { return both.catalog.has_value(); });
-    CHECK(both.catalog);
+    connected_sockets sockets;
+    sockets.sender->start_bulk_transfer(catalog_parts(make_text(8 << 20)));
+    sockets.run([&] { return sockets.parts > 0; });
+    sockets.sender->stop_bulk_transfer();
+    const std::size_t before = sockets.parts;
+    sockets.loop.run_for(200ms);
+    CHECK_FALSE(sockets.catalog);
+    CHECK(sockets.parts < before + 200);
+    sockets.sender->start_bulk_transfer(catalog_parts(make_text(100000)));
+    sockets.run([&] { return sockets.catalog.has_value(); });
+    CHECK(sockets.catalog);
 }
 
-TEST_CASE("parts that do not follow each other make no catalog")
+TEST_CASE("catalog parts that are not contiguous are rejected")
 {
     catalog_collector collector;
-    CHECK_FALSE(collector.add(part(6, 0, "abc")));
-    CHECK_FALSE(collector.add(part(6, 4, "ef")));
-    CHECK_FALSE(collector.add(part(6, 3, "def")));
-    CHECK_FALSE(collector.add(part(6, 0, "abc")));
-    CHECK(collector.add(part(6, 3, "def")) == "abcdef");
-    CHECK_FALSE(collector.add(part(6, 0, "abcdefgh")));
-    CHECK_FALSE(collector.add(part(1ULL << 40U, 0, "abc")));
-    CHECK_FALSE(collector.add(part(1ULL << 40U, 3, "abc")));
-    CHECK_FALSE(collector.add(part(0, 0, "")));
+    CHECK_FALSE(collector.add(make_part(6, 0, "abc")));
+    CHECK_FALSE(collector.add(make_part(6, 4, "ef")));
+    CHECK_FALSE(collector.add(make_part(6, 3, "def")));
+    CHECK_FALSE(collector.add(make_part(6, 0, "abc")));
+    CHECK(collector.add(make_part(6, 3, "def")) == "abcdef");
+    CHECK_FALSE(collector.add(make_part(6, 0, "abcdefgh")));
+    CHECK_FALSE(collector.add(make_part(1ULL << 40U, 0, "abc")));
+    CHECK_FALSE(collector.add(make_part(1ULL << 40U, 3, "abc")));
+    CHECK_FALSE(collector.add(make_part(0, 0, "")));
 }
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace mangofold::test;
 using namespace std::chrono_literals;
-using end = scripted_target::reaction::end;
+using end = scripted_target::response::connection_action;
 
 namespace
 {
@@ -42,7 +42,7 @@
                    { return react(name, request); });
     }
 
-    scripted_target::reaction react(const std::string& name,
+    scripted_target::response react(const std::string& name,
                                     const std::string& request)
     {
         if (!has(request, "poison"))
@@ -75,7 +75,7 @@
         add_target("events",
                    [](const std::string& request, std::size_t)
                    {
-                       return scripted_target::reaction{
+                       return scripted_target::response{
                            answer(id_of(request), "id: 1\ndata: e\n\n"),
                            end::keep};
                    });
@@ -91,7 +91,7 @@
         *where = target.address();
     }
 
-    scripted_target::reaction react(const std::string& name,
+    scripted_target::response react(const std::string& name,
                                     const std::string& where,
                                     const std::string& call)
     {
--- a/tests/serving/stream_test.cpp
+++ b/tests/serving/stream_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace mangofold::test;
 using namespace std::chrono_literals;
-using end = scripted_target::reaction::end;
+using end = scripted_target::response::connection_action;
 
 namespace
 {
@@ -53,7 +53,7 @@
     entry.add_target("events",
                      [](const std::string&, std::size_t)
                      {
-                         return scripted_target::reaction{
+                         return scripted_target::response{
                              head("r1") + chunk(event(1)) + chunk(event(2)) +
                                  last,
                              end::keep};
@@ -69,7 +69,7 @@
     serving_fixture entry;
     entry.add_target("events",
                      [](const std::string&, std::size_t) {
-                         return scripted_target::reaction{
+                         return scripted_target::response{
                              head("r1") + chunk(event(1)), end::hang};
                      });
     const auto caller = entry.connect();
@@ -87,7 +87,7 @@
         serving_fixture entry;
         entry.add_target("events",
                          [then](const std::string&, std::size_t) {
-                             return scripted_target::reaction{
+                             return scripted_target::response{
                                  head("r1") + chunk(event(1)), then};
                          });
         const auto caller = entry.connect();
@@ -111,11 +111,11 @@
         sent.push_back(text);
         const std::string half = event(3).substr(0, 8);
         return sent.size() == 1
-                   ? scripted_target::reaction{head("r1") +
+                   ? scripted_target::response{head("r1") +
                                                    chunk(event(1) + event(2)) +
                                                    chunk(half),
                                                end::reset}
-                   : scripted_target::reaction{
+                   : scripted_target::response{
                          head("r1") + chunk(event(3)) + last, end::keep};
     };
     entry.add_target("events", script);
@@ -136,9 +136,9 @@
     const auto script = [&sent](const std::string&, std::size_t)
     {
         return ++sent == 1
-                   ? scripted_target::reaction{head("r1") + chunk(event(1)),
+                   ? scripted_target::response{head("r1") + chunk(event(1)),
                                                end::reset}
-                   : scripted_target::reaction{
+                   : scripted_target::response{
                          head("r1") + chunk(event(3)) + last, end::keep};
     };
     entry.add_target("events", script);
@@ -156,7 +156,7 @@
     auto& target =
         entry.add_target("events",
                          [](const std::string&, std::size_t) {
-                             return scripted_target::reaction{
+                             return scripted_target::response{
                                  head("r1") + chunk(event(1)), end::hang};
                          });
     const auto caller = entry.connect();
@@ -165,7 +165,7 @@
     caller->socket.close();
     entry.settle();
     entry.time.advance(300ms);
-    entry.run_until([&] { return target.closed_by_other() == 1; });
+    entry.run_until([&] { return target.closed_by_peer() == 1; });
 }
 
 TEST_CASE("stages are made in order, their results handed on and let go of")
@@ -177,7 +177,7 @@
         [&where](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::response{answer("", ""), end::keep};
             std::string results;
             const std::string body = text.substr(text.find("\r\n\r\n") + 4);
             for (std::size_t at = 0; at < body.size();)
@@ -188,13 +188,13 @@
                 results += where + "/" + piece + "\n";
                 at = line + 1;
             }
-            return scripted_target::reaction{answer("", results), end::keep};
+            return scripted_target::response{answer("", results), end::keep};
         });
     where = maker.address();
     entry.add_target("events",
                      [](const std::string&, std::size_t)
                      {
-                         return scripted_target::reaction{
+                         return scripted_target::response{
                              head("r1") + chunk(event(1)) + last, end::keep};
                      });
     const std::string got =
@@ -231,11 +231,11 @@
         [&made, &where](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::response{answer("", ""), end::keep};
             return ++made == 1
-                       ? scripted_target::reaction{answer("", where + "/1\n"),
+                       ? scripted_target::response{answer("", where + "/1\n"),
                                                    end::keep}
-                       : scripted_target::reaction{"", end::hang};
+                       : scripted_target::response{"", end::hang};
         });
     where = maker.address();
     const auto caller = entry.connect();
@@ -264,7 +264,7 @@
         [](const std::string& text, std::size_t number)
         {
             const bool is_release = has(text, "/let-go");
-            return scripted_target::reaction{
+            return scripted_target::response{
                 answer("", is_release ? "" : "x/" + std::to_string(number)),
                 end::keep};
         });
@@ -326,20 +326,20 @@
         [&refused](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::response{answer("", ""), end::keep};
             constexpr std::size_t full_for = 8;
             if (refused < full_for)
             {
                 ++refused;
-                return scripted_target::reaction{
+                return scripted_target::response{
                     answer("", "", "503 Full", "Not-Run: 1\r\n"), end::keep};
             }
-            return scripted_target::reaction{answer("", "x/1\n"), end::keep};
+            return scripted_target::response{answer("", "x/1\n"), end::keep};
         });
     entry.add_target("events",
                      [](const std::string&, std::size_t)
                      {
-                         return scripted_target::reaction{
+                         return scripted_target::response{
                              head("r1") + chunk(event(1)) + last, end::keep};
                      });
     const auto caller = entry.connect();
@@ -366,9 +366,9 @@
         [&made](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::response{answer("", ""), end::keep};
             const bool is_gone = ++made == 2;
-            return scripted_target::reaction{
+            return scripted_target::response{
                 answer("",
                        is_gone ? "gone\n" : "x/" + std::to_string(made) + "\n"),
                 end::keep};
@@ -376,7 +376,7 @@
     entry.add_target("events",
                      [](const std::string&, std::size_t)
                      {
-                         return scripted_target::reaction{
+                         return scripted_target::response{
                              head("r1") + chunk(event(1)) + last, end::keep};
                      });
     CHECK(has(entry.ask(request("/staged/", "r1", "Pieces: 11\r\n"), last),
@@ -394,7 +394,7 @@
     auto& maker =
         entry.add_target("pieces",
                          [](const std::string&, std::size_t) {
-                             return scripted_target::reaction{"", end::hang};
+                             return scripted_target::response{"", end::hang};
                          });
     const auto caller = entry.connect();
     entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -7,12 +7,12 @@
 using namespace mangofold::test;
 using namespace mangofold;
 using namespace std::chrono_literals;
-using end = scripted_target::reaction::end;
+using end = scripted_target::response::connection_action;
 
 namespace
 {
 
-scripted_target::reaction hung(const std::string&, std::size_t)
+scripted_target::response hung(const std::string&, std::size_t)
 {
     return {{}, end::hang};
 }
@@ -103,7 +103,7 @@
     entry.add_target("pieces",
                      [&made](const std::string&, std::size_t)
                      {
-                         return scripted_target::reaction{
+                         return scripted_target::response{
                              answer("", "x/" + std::to_string(++made) + "\n"),
                              end::keep};
                      });
@@ -111,10 +111,10 @@
     {
         evacuate(entry, {"a"}, 5);
         return number == 0
-                   ? scripted_target::reaction{answer("r1", "", "503 Full",
+                   ? scripted_target::response{answer("r1", "", "503 Full",
                                                       "Not-Run: 1\r\n"),
                                                end::keep}
-                   : scripted_target::reaction{};
+                   : scripted_target::response{};
     };
     auto& first = entry.add_target("events", full, "b");
     auto& second = entry.add_target("events", full, "b");
--- a/tests/support/good_answers.hpp
+++ b/tests/support/good_answers.hpp
@@ -13,11 +13,12 @@
 }
 
 /// Answers every request in order.
-inline scripted_target::reaction good(const std::string& request, std::size_t)
+inline scripted_target::response good(const std::string& request, std::size_t)
 {
     const std::size_t at = request.find("Id: ") + 4;
     const std::string id = request.substr(at, request.find('\r', at) - at);
-    return {answer(id, "whole"), scripted_target::reaction::end::keep};
+    return {answer(id, "whole"),
+            scripted_target::response::connection_action::keep};
 }
 
 } // namespace mangofold::test
--- a/tests/support/scripted_target.cpp
+++ b/tests/support/scripted_target.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Returns the length of the first whole request in \a bytes, or 0.
+/// Returns the length of the first complete request in \a bytes, or 0.
 std::size_t request_length(const std::string& bytes)
 {
     const std::size_t head = bytes.find("\r\n\r\n");
@@ -22,16 +22,16 @@
     const std::size_t field = bytes.find("Content-Length: ");
     if (field < head)
         body = std::stoul(bytes.substr(field + 16));
-    const std::size_t whole = head + 4 + body;
-    return bytes.size() < whole ? 0 : whole;
+    const std::size_t length = head + 4 + body;
+    return bytes.size() < length ? 0 : length;
 }
 
 } // namespace
 
-scripted_target::scripted_target(asio::io_context& loop, script reacts)
+scripted_target::scripted_target(asio::io_context& loop, script respond)
     : m_loop(loop),
       m_acceptor(loop, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
-      m_script(std::move(reacts))
+      m_script(std::move(respond))
 {
     start(loop, accept());
 }
@@ -74,16 +74,17 @@
             continue;
         m_requests.push_back(bytes.substr(0, length));
         bytes.erase(0, length);
-        const reaction now = m_script(m_requests.back(), m_requests.size() - 1);
-        if (!now.bytes.empty())
-            co_await asio::async_write(socket, asio::buffer(now.bytes),
+        const response reply =
+            m_script(m_requests.back(), m_requests.size() - 1);
+        if (!reply.bytes.empty())
+            co_await asio::async_write(socket, asio::buffer(reply.bytes),
                                        into(fault));
-        if (now.then == reaction::end::reset)
+        if (reply.action == response::connection_action::reset)
             socket.set_option(asio::socket_base::linger(true, 0), fault);
-        if (now.then == reaction::end::reset ||
-            now.then == reaction::end::close)
+        if (reply.action == response::connection_action::reset ||
+            reply.action == response::connection_action::close)
         {
-            // The destructor alone would not reset.
+            // The socket's destructor would not send a reset.
             socket.close(fault);
             co_return;
         }
--- a/tests/support/scripted_target.hpp
+++ b/tests/support/scripted_target.hpp
@@ -10,34 +10,37 @@
 namespace mangofold::test
 {
 
-/// A target on loopback whose answers a test writes byte by byte.
+/// A target on loopback that answers each request with bytes that a test
+/// supplies, to reproduce broken, late or repeated answers.
 class scripted_target
 {
 public:
-    /// What it does with one request: sends bytes, then perhaps ends.
-    struct reaction
+    /// Reaction to one request: the bytes to send, and what happens to the
+    /// connection after them.
+    struct response
     {
         std::string bytes;
-        enum class end
+        enum class connection_action
         {
             keep,
             close,
             reset,
-            hang ///< Says nothing more, and keeps the connection.
-        } then = end::keep;
+            hang ///< Like keep, for answers that never arrive or complete.
+        } action = connection_action::keep;
     };
-    /// Gets each request as it came, with its head, and its number from 0.
+    /// Called with the bytes of each request, including its head, and its
+    /// number from 0.
     using script =
-        std::function<reaction(const std::string& request, std::size_t number)>;
+        std::function<response(const std::string& request, std::size_t number)>;
 
-    scripted_target(serving::asio::io_context& loop, script reacts);
+    scripted_target(serving::asio::io_context& loop, script respond);
 
     std::string address() const;
     const std::vector<std::string>& requests() const { return m_requests; }
     std::size_t connections() const { return m_connections; }
 
-    /// Returns how many connections the other side has closed.
-    std::size_t closed_by_other() const { return m_closed; }
+    /// Returns the number of connections that the caller has closed.
+    std::size_t closed_by_peer() const { return m_closed; }
 
 private:
     serving::awaitable<void> accept();
