--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -150,13 +150,13 @@
             if (!are_done)
                 co_return;
         }
-        const attempt_outcome end = co_await attempt();
-        if (end == attempt_outcome::answered ||
-            end == attempt_outcome::given_up)
+        const attempt_outcome outcome = co_await attempt();
+        if (outcome == attempt_outcome::answered ||
+            outcome == attempt_outcome::given_up)
             co_return;
         if (!m_sends->may_send() || is_past_deadline())
             co_return;
-        if (end == attempt_outcome::redo_stages)
+        if (outcome == attempt_outcome::redo_stages)
             release_stages();
     }
 }
@@ -179,7 +179,7 @@
 
 void exchange::record_attempt_start(const decision::target_start& target)
 {
-    m_tried.insert(target);
+    m_tried_targets.insert(target);
     m_last_target = target;
     m_sends->note_sent();
     if (m_verdict.how != decision::quarantine::admission::open)
@@ -256,27 +256,27 @@
     m_sent_at = began;
     if (!is_retry)
         m_context.routes[m_route->name].before.add(began - m_started_at);
-    const auto begin_result = co_await m_call->send_request(
+    const auto send_result = co_await m_call->send_request(
         forwarded_request, m_facts.id, attempt_timeout());
-    if (begin_result == target_call::outcome::ok)
+    if (send_result == target_call::outcome::ok)
     {
         note_alive(m_context, id, m_call->opened_at());
         m_context.cold.note_answered(id, m_context.warm_up_of(m_service).time,
                                      m_context.now());
     }
-    attempt_outcome end = attempt_outcome::given_up;
+    attempt_outcome outcome = attempt_outcome::given_up;
     if (m_session->has_left())
     {
         m_call->abort();
         m_context.standing.note_left(id);
     }
-    else if (begin_result != target_call::outcome::ok)
-        end = handle_failed_attempt(begin_result, id);
+    else if (send_result != target_call::outcome::ok)
+        outcome = handle_failed_attempt(send_result, id);
     else if (m_call->facts().has_not_run)
-        end = handle_not_run(*m_call);
+        outcome = handle_not_run(*m_call);
     else
     {
-        end = co_await relay_answer(*m_call);
+        outcome = co_await relay_answer(*m_call);
         if (!is_engine_service() && !m_is_outcome_recorded)
             m_context.standing.note_answered(id, m_context.now() - began,
                                              m_call->head().result_int() >=
@@ -285,7 +285,7 @@
     record_attempt_end(id);
     m_call->release_connection();
     m_call.reset();
-    co_return end;
+    co_return outcome;
 }
 
 exchange::attempt_outcome
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -110,8 +110,8 @@
     const decision::listed_target*
     choose_target_except(const std::set<decision::target_start>& excluded);
     std::vector<const decision::listed_target*> available_targets();
-    /// Whether all targets of the service, or of a stage if \a needs_stages,
-    /// are evacuated.
+    /// Whether all targets of the service are evacuated, or, if
+    /// \a needs_stages, all targets of a service that a stage needs.
     bool is_service_evacuated(bool needs_stages) const;
     bool may_wait_for_cold_target() const;
     send_marks marks_for(const decision::listed_target& target);
@@ -151,7 +151,7 @@
     bool m_is_aborted_by_shutdown = false;
     refusal m_refusal = refusal::none;
     std::optional<decision::sending_record> m_sends;
-    std::set<decision::target_start> m_tried;
+    std::set<decision::target_start> m_tried_targets;
     decision::quarantine::verdict m_verdict;
     /// Whether this is a trial run of quarantined content.
     bool m_is_trial = false;
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -137,7 +137,7 @@
         {
             if (!m_is_prompt_read)
             {
-                // The engine has read its inputs, so the memory that holds them
+                // The engine has read its inputs, so the space that holds them
                 // can be released.
                 m_is_prompt_read = true;
                 if (m_first_byte_at == instant{})
@@ -169,13 +169,14 @@
             note_alive(m_context, call.target().start, call.opened_at());
         else
         {
-            const auto end = handle_failed_attempt(result, call.target().start);
+            const auto outcome =
+                handle_failed_attempt(result, call.target().start);
             // Released stage results must be produced again before the stream
             // can resume.
-            co_return m_is_prompt_read&& m_stages&& end ==
+            co_return m_is_prompt_read&& m_stages&& outcome ==
                     attempt_outcome::retry
                 ? attempt_outcome::redo_stages
-                : end;
+                : outcome;
         }
     }
     if (!events.is_between_events() || !m_is_head_sent)
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -9,8 +9,8 @@
 {
 
 /// How long a trial waits for a target that runs no other quarantined content.
-/// After that it shares a target with one; the record of a target end then
-/// names both.
+/// After that it may share a target with such content; the quarantine knows
+/// that both were in progress there.
 constexpr duration max_exclusive_wait = std::chrono::seconds(1);
 
 } // namespace
@@ -62,10 +62,10 @@
 const decision::listed_target* exchange::choose_target()
 {
     if (m_verdict.how == decision::quarantine::admission::open)
-        return choose_target_except(m_tried);
+        return choose_target_except(m_tried_targets);
     std::set<decision::target_start> excluded =
         m_context.quarantine.occupied(content_digest());
-    excluded.insert(m_tried.begin(), m_tried.end());
+    excluded.insert(m_tried_targets.begin(), m_tried_targets.end());
     if (m_is_trial && m_context.now() < m_exclusive_until)
     {
         std::vector<decision::target_start> targets;
@@ -77,7 +77,8 @@
         return choose_target_except(excluded);
     }
     const auto* unoccupied = choose_target_except(excluded);
-    return unoccupied != nullptr ? unoccupied : choose_target_except(m_tried);
+    return unoccupied != nullptr ? unoccupied
+                                 : choose_target_except(m_tried_targets);
 }
 
 awaitable<const decision::listed_target*> exchange::wait_for_target_choice()
--- a/packages/serving/target_call.hpp
+++ b/packages/serving/target_call.hpp
@@ -43,8 +43,8 @@
     }
 
     /// Sends \a request and reads the head of its answer. Each wait for the
-    /// target is limited to \a timeout. Answers with another request id than \a
-    /// id are skipped.
+    /// target is limited to \a timeout. Answers that carry an id other than
+    /// \a id are skipped.
     awaitable<outcome> send_request(const http_request& request, std::string id,
                                     duration timeout);
 
