--- a/packages/serving/target_call.cpp
+++ b/packages/serving/target_call.cpp
@@ -6,115 +6,117 @@
 namespace
 {
 
-/// In which a target must take a new connection: many times the way between
-/// regions. One that has no power never does.
-constexpr duration connect_time = std::chrono::milliseconds(300);
+/// How long a target may take to accept a connection: many times the round trip
+/// between regions. A target without power never answers.
+constexpr duration connect_timeout = std::chrono::milliseconds(300);
 
-/// How long an idle connection is kept where the target does not say; such
-/// targets close theirs in less than a second.
-constexpr duration unsaid_idle_time = std::chrono::milliseconds(300);
+/// How long an idle connection is kept if the target states no idle time. Such
+/// targets close idle connections in less than a second.
+constexpr duration default_idle_time = std::chrono::milliseconds(300);
 
-/// The longest that any connection is kept idle.
-constexpr duration most_idle_time = std::chrono::seconds(5);
+/// How long any connection is kept idle at most.
+constexpr duration max_idle_time = std::chrono::seconds(5);
 
-/// An answer's body is read in parts; only one that comes whole can be this
-/// large in memory.
-constexpr std::uint64_t most_body = 64ULL << 20U;
+/// Largest body of an answer. Bodies are read in parts, so only a body that
+/// arrives as a whole can take this much memory.
+constexpr std::uint64_t max_body_bytes = 64ULL << 20U;
 
-using link_state = target_connection::state;
+using connection_outcome = target_connection::outcome;
 
-target_call::state said(link_state value)
+target_call::outcome to_call_outcome(connection_outcome value)
 {
-    return value == link_state::timed_out ? target_call::state::timed_out
-                                          : target_call::state::broken;
+    return value == connection_outcome::timed_out
+               ? target_call::outcome::timed_out
+               : target_call::outcome::connection_lost;
 }
 
 } // namespace
 
-void target_call::fresh_parser()
+void target_call::reset_parser()
 {
     m_parser.emplace();
     m_parser->eager(true);
-    m_parser->body_limit(most_body);
+    m_parser->body_limit(max_body_bytes);
     if (m_has_no_body)
         m_parser->skip(true);
 }
 
-awaitable<target_call::state> target_call::connect(duration most)
+awaitable<target_call::outcome> target_call::connect(duration timeout)
 {
-    m_connection = m_links.take_idle(m_target.start);
+    m_connection = m_pool.take_idle(m_target.start);
     if (m_connection)
-        co_return state::good;
-    m_connection = m_links.make();
-    const auto opened = co_await m_connection->open(
-        m_target.where, std::min(most, connect_time));
-    if (opened != link_state::good || m_is_aborted)
-        co_return state::not_sent;
-    co_return state::good;
+        co_return outcome::ok;
+    m_connection = m_pool.create();
+    const auto result = co_await m_connection->open(
+        m_target.address, std::min(timeout, connect_timeout));
+    if (result != connection_outcome::ok || m_is_aborted)
+        co_return outcome::not_sent;
+    co_return outcome::ok;
 }
 
-awaitable<target_call::state> target_call::begin(const http_request& request,
-                                                 std::string id, duration most)
+awaitable<target_call::outcome>
+target_call::send_request(const http_request& request, std::string id,
+                          duration timeout)
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     m_id = std::move(id);
     m_has_no_body = request.method() == http::verb::head;
-    if (co_await connect(most) != state::good)
-        co_return state::not_sent;
-    m_connection->send(to_bytes(request, m_target.where.text()));
-    fresh_parser();
-    co_return co_await read_head(most);
+    if (co_await connect(timeout) != outcome::ok)
+        co_return outcome::not_sent;
+    m_connection->send(to_bytes(request, m_target.address.text()));
+    reset_parser();
+    co_return co_await read_head(timeout);
 }
 
-awaitable<target_call::state> target_call::read_head(duration most)
+awaitable<target_call::outcome> target_call::read_head(duration timeout)
 {
     for (;;)
     {
         while (!m_parser->is_header_done())
         {
-            if (parse() == state::spoiled)
-                co_return state::spoiled;
+            if (parse() == outcome::invalid_answer)
+                co_return outcome::invalid_answer;
             if (m_parser->is_header_done())
                 break;
-            const auto got = co_await m_connection->read(most);
-            if (got != link_state::good)
-                co_return said(got);
+            const auto result = co_await m_connection->read(timeout);
+            if (result != connection_outcome::ok)
+                co_return to_call_outcome(result);
         }
         if (m_parser->get().result_int() < 200)
         {
-            fresh_parser();
+            reset_parser();
             continue;
         }
         m_facts = m_dialect.answer(m_parser->get());
-        if (!is_stray())
-            co_return state::good;
-        const state passed = co_await pass_over_stray(most);
-        if (passed != state::good)
+        if (!is_stray_answer())
+            co_return outcome::ok;
+        const outcome passed = co_await skip_stray_answer(timeout);
+        if (passed != outcome::ok)
             co_return passed;
     }
 }
 
-// A target may answer an earlier request twice. The second answer then
-// stands where ours is expected; taken for ours, a caller would get the
-// answer of another one. The id that targets repeat tells them apart.
-bool target_call::is_stray() const
+// A target may answer an earlier request twice. Without this check the second
+// answer would be taken for the answer to the present request, and a caller
+// would get the answer of another caller. Targets repeat the request id.
+bool target_call::is_stray_answer() const
 {
     return !m_id.empty() && !m_facts.id.empty() && m_facts.id != m_id;
 }
 
-awaitable<target_call::state> target_call::pass_over_stray(duration most)
+awaitable<target_call::outcome> target_call::skip_stray_answer(duration timeout)
 {
     while (!m_parser->is_done())
     {
-        const state got = co_await more(most);
-        if (got != state::good)
-            co_return got;
+        const outcome result = co_await read_more(timeout);
+        if (result != outcome::ok)
+            co_return result;
     }
-    fresh_parser();
-    co_return state::good;
+    reset_parser();
+    co_return outcome::ok;
 }
 
-target_call::state target_call::parse()
+target_call::outcome target_call::parse()
 {
     std::string& bytes = m_connection->received();
     while (!bytes.empty() && !m_parser->is_done())
@@ -123,34 +125,35 @@
         const std::size_t used = m_parser->put(asio::buffer(bytes), fault);
         bytes.erase(0, used);
         if (fault == http::error::need_more)
-            return state::good;
+            return outcome::ok;
         if (fault)
-            return state::spoiled;
+            return outcome::invalid_answer;
         if (used == 0)
-            return state::good;
+            return outcome::ok;
     }
-    return state::good;
+    return outcome::ok;
 }
 
-target_call::state target_call::parse_end()
+target_call::outcome target_call::parse_end()
 {
     error_code fault;
     m_parser->put_eof(fault);
-    return fault || !m_parser->is_done() ? state::broken : state::good;
+    return fault || !m_parser->is_done() ? outcome::connection_lost
+                                         : outcome::ok;
 }
 
-awaitable<target_call::state> target_call::more(duration most)
+awaitable<target_call::outcome> target_call::read_more(duration timeout)
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     if (m_parser->is_done())
-        co_return state::good;
-    const auto got = co_await m_connection->read(most);
-    // Only an orderly end completes an answer without a length; a reset
-    // leaves it incomplete.
-    if (got == link_state::ended && !m_is_aborted)
+        co_return outcome::ok;
+    const auto result = co_await m_connection->read(timeout);
+    // An answer without a length is complete only if the target closed the
+    // connection in order; a reset leaves it incomplete.
+    if (result == connection_outcome::closed_by_peer && !m_is_aborted)
         co_return parse_end();
-    if (got != link_state::good)
-        co_return said(got);
+    if (result != connection_outcome::ok)
+        co_return to_call_outcome(result);
     co_return parse();
 }
 
@@ -159,22 +162,22 @@
     return std::exchange(m_parser->get().body(), {});
 }
 
-void target_call::finish()
+void target_call::release_connection()
 {
     if (!m_connection)
         return;
-    const bool is_in_order = is_complete() && m_parser->keep_alive() &&
+    const bool is_reusable = is_complete() && m_parser->keep_alive() &&
                              !m_parser->need_eof() && m_connection->is_sent() &&
                              m_connection->received().empty() &&
                              m_connection->is_open();
-    if (!is_in_order)
+    if (!is_reusable)
         return abort();
-    // Half of what the target says, so that a request never crosses the
-    // target's own closing of the connection.
+    // Half of the idle time that the target states, so that a request is never
+    // sent while the target closes the connection.
     const duration idle = m_facts.idle_time
-                              ? std::min(*m_facts.idle_time / 2, most_idle_time)
-                              : unsaid_idle_time;
-    m_links.give_back(m_target.start, std::move(m_connection), idle);
+                              ? std::min(*m_facts.idle_time / 2, max_idle_time)
+                              : default_idle_time;
+    m_pool.put_back(m_target.start, std::move(m_connection), idle);
     m_connection.reset();
 }
 
--- /dev/null
+++ b/packages/serving/target_connection_pool.hpp
@@ -0,0 +1,55 @@
+#pragma once
+
+#include "decision/target_incarnation.hpp"
+#include "runtime/clock.hpp"
+#include "serving/target_connection.hpp"
+
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+namespace mangofold::serving
+{
+
+/// Pool of idle connections to targets, by target.
+class target_connection_pool
+{
+public:
+    target_connection_pool(asio::io_context& loop, const runtime::clock& time)
+        : m_loop(loop), m_clock(time)
+    {
+    }
+
+    /// Returns an idle connection to the target \a id, or nothing.
+    connection_ptr take_idle(const decision::target_incarnation& id);
+
+    /// Returns a new connection that is not open yet.
+    connection_ptr create() const
+    {
+        auto connection = std::make_shared<target_connection>(m_loop);
+        connection->opened_at = m_clock.now();
+        return connection;
+    }
+
+    /// Keeps \a connection for reuse within \a idle_time.
+    void put_back(const decision::target_incarnation& id,
+                  connection_ptr connection, duration idle_time);
+
+    /// Closes the idle connections to the target \a id.
+    void close_idle(const decision::target_incarnation& id)
+    {
+        m_idle.erase(id);
+    }
+
+    /// Closes the connections whose idle time has ended.
+    void close_expired();
+
+private:
+    asio::io_context& m_loop;
+    const runtime::clock& m_clock;
+    std::unordered_map<decision::target_incarnation,
+                       std::vector<connection_ptr>>
+        m_idle;
+};
+
+} // namespace mangofold::serving
--- a/tests/link/poison_path_test.cpp
+++ b/tests/link/poison_path_test.cpp
@@ -5,7 +5,7 @@
 #include "sidecar/admission_controller.hpp"
 #include "sidecar/link_server.hpp"
 #include "sidecar/target_caller.hpp"
-#include "support/ending_target.hpp"
+#include "support/crashing_target.hpp"
 
 #include <doctest/doctest.h>
 
@@ -73,7 +73,7 @@
 
     runtime::system_clock clock;
     runtime::metrics counters;
-    tests::ending_target target;
+    tests::crashing_target target;
     configuration::config_store store{counters};
     sidecar::admission_controller admission;
     sidecar::link_server links;
@@ -154,7 +154,7 @@
     {
         unsigned sum = 0;
         for (const auto& sidecar : sidecars)
-            sum += sidecar->target.ended();
+            sum += sidecar->target.crash_count();
         return sum;
     }
 
--- a/tests/support/complete_responses.hpp
+++ b/tests/support/complete_responses.hpp
@@ -15,12 +15,13 @@
 
 /// Returns a complete response with the request id of \a request, and keeps the
 /// connection open.
-inline scripted_target::reaction complete_response(const std::string& request,
+inline scripted_target::response complete_response(const std::string& request,
                                                    std::size_t)
 {
     const std::size_t at = request.find("Id: ") + 4;
     const std::string id = request.substr(at, request.find('\r', at) - at);
-    return {answer(id, "whole"), scripted_target::reaction::end::keep};
+    return {answer(id, "whole"),
+            scripted_target::response::connection_action::keep};
 }
 
 } // namespace mangofold::test
