--- a/packages/catalog/catalog.hpp
+++ b/packages/catalog/catalog.hpp
@@ -17,8 +17,8 @@
 struct stage
 {
     std::string service;
-    std::vector<std::size_t> after; ///< Indexes of the stages whose results
-                                    ///< this stage takes as inputs.
+    /// Indexes of the stages whose results this stage takes as inputs.
+    std::vector<std::size_t> dependencies;
     std::uint64_t result_bytes = 0; ///< Approximate result size of a piece.
 
     friend bool operator==(const stage&, const stage&) = default;
@@ -45,9 +45,9 @@
     bool is_stream = false;     ///< Answers are event streams.
     bool is_resumable = false;  ///< Another target can resume a broken stream.
     bool is_public = false;     ///< Requests need no API key.
-    decision::duration timeout{};  ///< Longest time to serve a request.
-    decision::duration aim{};      ///< Latency objective of a whole answer.
-    decision::duration gap_aim{};  ///< Objective for pauses between events.
+    decision::duration timeout{}; ///< Longest time to serve a request.
+    decision::duration latency_objective{}; ///< For a whole answer.
+    decision::duration gap_objective{};     ///< For pauses between events.
     decision::duration patience{}; ///< Longest silence of a stream after which
                                    ///< callers disconnect; 0 if they never do.
     std::uint32_t priority = 0;    ///< 0 is the highest.
@@ -59,36 +59,37 @@
 };
 
 /// Capacity and speed of one target of a service that executes stages.
-struct call_shape
+struct call_profile
 {
-    std::uint32_t slots = 1;        ///< Calls executed concurrently.
-    std::uint32_t queue = 0;        ///< Calls that may wait for a slot.
-    std::uint32_t most_pieces = 1;  ///< Largest batch of one call.
-    decision::duration per_call{};  ///< Fixed execution time of a call.
-    decision::duration per_piece{}; ///< Execution time of each piece of a call.
-    std::uint64_t room_bytes = 0;   ///< Memory for results.
-    decision::duration result_lifetime{}; ///< Results are deleted after it.
-    double link_bytes_per_s = 0;          ///< Bandwidth for fetching inputs.
-
-    friend bool operator==(const call_shape&, const call_shape&) = default;
+    std::uint32_t slots = 1;               ///< Calls executed concurrently.
+    std::uint32_t queue = 0;               ///< Calls that may wait for a slot.
+    std::uint32_t max_pieces = 1;          ///< Largest batch of one call.
+    decision::duration time_per_call{};    ///< Fixed execution time of a call.
+    decision::duration time_per_piece{};   ///< Additional time for each piece.
+    std::uint64_t result_memory_bytes = 0; ///< Memory for results.
+    decision::duration result_lifetime{};  ///< Results are deleted after it.
+    double link_bytes_per_s = 0;           ///< Bandwidth for fetching inputs.
+
+    friend bool operator==(const call_profile&, const call_profile&) = default;
 };
 
 /// Capacity of one target of a service that runs a model engine.
-struct engine_shape
+struct engine_capacity
 {
     std::uint32_t slots = 1;         ///< Requests executed concurrently.
     std::uint64_t memory_tokens = 0; ///< Tokens that fit the engine's cache.
 
-    friend bool operator==(const engine_shape&, const engine_shape&) = default;
+    friend bool operator==(const engine_capacity&,
+                           const engine_capacity&) = default;
 };
 
 /// A group of interchangeable targets.
 struct service
 {
     std::string name;
-    std::uint32_t max_connections = 1;  ///< To one target, over all callers.
-    std::optional<call_shape> calls;    ///< Unset if it executes no stages.
-    std::optional<engine_shape> engine; ///< Unset if it runs no model engine.
+    std::uint32_t max_connections = 1;     ///< To one target, over all callers.
+    std::optional<call_profile> calls;     ///< Unset if it executes no stages.
+    std::optional<engine_capacity> engine; ///< Unset if it has no engine.
     decision::warm_up warm_up{}; ///< Load limits of a target that just started.
 
     friend bool operator==(const service&, const service&) = default;
--- a/packages/decision/call_planner.cpp
+++ b/packages/decision/call_planner.cpp
@@ -65,8 +65,8 @@
 duration call_planner::expected_time(const stage_target& target,
                                      std::size_t pieces) const
 {
-    const double nominal = static_cast<double>(m_shape.per_call.count()) +
-                           static_cast<double>(m_shape.per_piece.count()) *
+    const double nominal = static_cast<double>(m_shape.time_per_call.count()) +
+                           static_cast<double>(m_shape.time_per_piece.count()) *
                                static_cast<double>(pieces);
     return duration(static_cast<duration::rep>(nominal * target.slowdown));
 }
@@ -75,8 +75,8 @@
 bool call_planner::is_probe_due(const stage_target& target, instant now) const
 {
     return target.slowdown >= slow_threshold &&
-           now >=
-               target.last_call_ended_at + m_shape.per_call * probe_after_calls;
+           now >= target.last_call_ended_at +
+                      m_shape.time_per_call * probe_after_calls;
 }
 
 // A slow target holds its pieces for the time of several calls. The pieces are
@@ -86,7 +86,7 @@
 {
     if (target.slowdown < slow_threshold || is_probe_due(target, now))
         return false;
-    const instant own = now + expected_time(target, m_shape.most_pieces);
+    const instant own = now + expected_time(target, m_shape.max_pieces);
     return std::any_of(
         m_targets.begin(), m_targets.end(),
         [&](const auto& entry)
@@ -95,7 +95,7 @@
             if (other.start == target.start || other.backoff_until > now)
                 return false;
             const instant free = std::max(other.free_at, now);
-            return free + expected_time(other, m_shape.most_pieces) < own;
+            return free + expected_time(other, m_shape.max_pieces) < own;
         });
 }
 
@@ -126,7 +126,8 @@
 {
     if (job.zone.empty() || job.zone == target.zone)
         return false;
-    const instant until = job.queued_at + m_shape.per_call / zone_wait_divisor;
+    const instant until =
+        job.queued_at + m_shape.time_per_call / zone_wait_divisor;
     if (until <= now)
         return false;
     return std::any_of(
@@ -199,16 +200,16 @@
             return false;
         suspects += crashes;
     }
-    return suspects <= m_shape.most_pieces / 2;
+    return suspects <= m_shape.max_pieces / 2;
 }
 
 void call_planner::fill(planned_call& call, stage_target& target, instant now,
                         const downstream_estimates& downstream)
 {
     const auto room = static_cast<std::uint64_t>(
-        static_cast<double>(m_shape.room_bytes) * usable_room_share);
+        static_cast<double>(m_shape.result_memory_bytes) * usable_room_share);
     std::uint64_t used = target.stored_bytes + target.reserved_bytes;
-    std::size_t space = m_shape.most_pieces;
+    std::size_t space = m_shape.max_pieces;
     const bool is_probe = is_probe_due(target, now);
     std::vector<job_state*> order = jobs_by_urgency(target, now, downstream);
     if (is_probe)
@@ -230,7 +231,7 @@
             {wanted, space, static_cast<std::size_t>(fits)});
         // A job is kept in one call if possible: split over two it would wait
         // for the later one. Only a job too large for any call is split.
-        if (count < wanted && wanted <= m_shape.most_pieces &&
+        if (count < wanted && wanted <= m_shape.max_pieces &&
             wanted * bytes <= room)
             continue;
         for (; count > 0; --count)
@@ -278,10 +279,11 @@
     target.consecutive_failures = 0;
     target.last_call_ended_at = now;
     target.free_at = now;
-    const auto nominal = static_cast<double>(
-        (m_shape.per_call +
-         m_shape.per_piece * static_cast<duration::rep>(call.pieces.size()))
-            .count());
+    const auto nominal =
+        static_cast<double>((m_shape.time_per_call +
+                             m_shape.time_per_piece *
+                                 static_cast<duration::rep>(call.pieces.size()))
+                                .count());
     constexpr double average_weight = 0.1; // Calls of about two seconds.
     const auto ns = static_cast<double>(took.count());
     m_average_call_ns =
@@ -312,9 +314,9 @@
             ? 0.5
             : std::min<double>(target.consecutive_failures, max_backoff_calls);
     target.backoff_until =
-        now +
-        duration(static_cast<duration::rep>(
-            backoff_calls * static_cast<double>(m_shape.per_call.count())));
+        now + duration(static_cast<duration::rep>(
+                  backoff_calls *
+                  static_cast<double>(m_shape.time_per_call.count())));
     target.free_at = target.backoff_until;
 }
 
@@ -334,7 +336,7 @@
 {
     const auto found = m_targets.find(target);
     if (found != m_targets.end())
-        found->second.backoff_until = now + m_shape.per_call / 2;
+        found->second.backoff_until = now + m_shape.time_per_call / 2;
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -48,10 +48,10 @@
 class call_planner
 {
 public:
-    explicit call_planner(catalog::call_shape shape) : m_shape(shape) {}
+    explicit call_planner(catalog::call_profile shape) : m_shape(shape) {}
 
-    void set_shape(const catalog::call_shape& shape) { m_shape = shape; }
-    const catalog::call_shape& shape() const { return m_shape; }
+    void set_shape(const catalog::call_profile& shape) { m_shape = shape; }
+    const catalog::call_profile& shape() const { return m_shape; }
 
     /// Sets the targets that may get calls, with their zones.
     void set_targets(const std::map<target_start, std::string>& zones);
@@ -166,7 +166,7 @@
     void requeue_results_of(const stage_target& maker);
     removed_job remove(std::map<std::uint64_t, job_state>::iterator entry);
 
-    catalog::call_shape m_shape;
+    catalog::call_profile m_shape;
     std::map<target_start, stage_target> m_targets;
     std::map<std::uint64_t, job_state> m_jobs;
     std::vector<std::uint64_t> m_finished;
--- a/packages/decision/call_planner_jobs.cpp
+++ b/packages/decision/call_planner_jobs.cpp
@@ -115,8 +115,8 @@
         const job_state& state = entry->second;
         if (!state.is_in_progress() &&
             state.job.expires <
-                now + m_shape.per_call +
-                    downstream.remaining_time(state.job, m_shape.per_call,
+                now + m_shape.time_per_call +
+                    downstream.remaining_time(state.job, m_shape.time_per_call,
                                               state.job.is_late))
             jobs.push_back(remove(entry));
         entry = next;
--- a/packages/serving/caller_session.cpp
+++ b/packages/serving/caller_session.cpp
@@ -75,7 +75,7 @@
     }
     m_socket.shutdown(tcp::socket::shutdown_send, ignored);
     m_socket.close(ignored);
-    m_space.raise();
+    m_space.set();
 }
 
 awaitable<void> caller_session::read_all()
@@ -92,7 +92,7 @@
             co_return;
         }
         m_received.append(m_chunk.data(), count);
-        m_more.raise();
+        m_more.set();
         while (m_received.size() > read_ahead && m_socket.is_open())
             co_await m_space.wait(std::chrono::seconds(1));
     }
@@ -101,7 +101,7 @@
 awaitable<void> caller_session::leave(bool is_orderly)
 {
     m_is_ended = true;
-    m_more.raise();
+    m_more.set();
     // A close that may have come long ago was read late: the caller's time is
     // over already.
     const duration unseen = m_handler.lateness();
@@ -120,7 +120,7 @@
 void caller_session::note_left()
 {
     m_has_left = true;
-    m_more.raise();
+    m_more.set();
     if (m_on_left)
         std::exchange(m_on_left, nullptr)();
 }
@@ -151,7 +151,7 @@
         error_code fault;
         const std::size_t used = reading.put(asio::buffer(m_received), fault);
         m_received.erase(0, used);
-        m_space.raise();
+        m_space.set();
         if (fault == http::error::need_more)
             return 0;
         if (fault)
@@ -261,7 +261,7 @@
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
     m_socket.close(ignored);
     m_is_last = true;
-    m_more.raise();
+    m_more.set();
 }
 
 void caller_session::close_if_idle()
@@ -269,7 +269,7 @@
     if (m_is_busy || !m_received.empty())
         return;
     m_is_last = true;
-    m_more.raise();
+    m_more.set();
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/caller_session.hpp
+++ b/packages/serving/caller_session.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "catalog/catalog.hpp"
+#include "serving/auto_reset_event.hpp"
 #include "serving/http.hpp"
-#include "serving/signal_point.hpp"
 
 #include <array>
 #include <functional>
@@ -105,8 +105,8 @@
     tcp::socket m_socket;
     loop_timer m_guard;
     request_handler& m_handler;
-    signal_point m_more;
-    signal_point m_space;
+    auto_reset_event m_more;
+    auto_reset_event m_space;
     std::string m_received;
     std::array<char, 4096> m_chunk{};
     http_request m_request;
--- a/packages/serving/catalog_parts.cpp
+++ b/packages/serving/catalog_parts.cpp
@@ -20,7 +20,8 @@
 
 } // namespace
 
-frame_socket::part_source catalog_parts(std::shared_ptr<const std::string> text)
+frame_socket::part_source
+catalog_part_source(std::shared_ptr<const std::string> text)
 {
     return [text = std::move(text),
             offset = std::size_t{0}](peer::Frame& frame) mutable
@@ -36,7 +37,7 @@
     };
 }
 
-std::optional<std::string> catalog_collector::add(const peer::CatalogPart& part)
+std::optional<std::string> catalog_assembler::add(const peer::CatalogPart& part)
 {
     if (part.offset() == 0)
         m_text.clear();
--- a/packages/serving/catalog_parts.hpp
+++ b/packages/serving/catalog_parts.hpp
@@ -12,10 +12,10 @@
 /// Returns a source of frames that sends the serialized catalog \a text in
 /// parts, so that a large catalog does not delay urgent frames on the link.
 frame_socket::part_source
-catalog_parts(std::shared_ptr<const std::string> text);
+catalog_part_source(std::shared_ptr<const std::string> text);
 
 /// Reassembles a serialized catalog that another entry sends in parts.
-class catalog_collector
+class catalog_assembler
 {
 public:
     /// Appends the next part. Returns the whole text after the last part. A
--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -30,18 +30,19 @@
 {
 
 /// Interval of the timer that measures how late the event loop runs.
-constexpr duration turn_interval = std::chrono::milliseconds(100);
+constexpr duration loop_probe_interval = std::chrono::milliseconds(100);
 
 /// State shared by the components of one entry process. Used only on the thread
 /// of its event loop.
 struct entry_context
 {
-    entry_context(asio::io_context& its_loop, const runtime::clock& its_time,
-                  const dialect& its_speech, node_settings its_settings,
-                  std::uint64_t seed)
-        : loop(its_loop), time(its_time), speech(its_speech),
-          settings(std::move(its_settings)), links(its_loop, its_time),
-          standing(seed), random(seed + 1)
+    entry_context(asio::io_context& event_loop,
+                  const runtime::clock& process_clock,
+                  const dialect& target_protocol,
+                  node_settings initial_settings, std::uint64_t seed)
+        : loop(event_loop), time(process_clock), protocol(target_protocol),
+          settings(std::move(initial_settings)),
+          links(event_loop, process_clock), standing(seed), random(seed + 1)
     {
     }
 
@@ -49,15 +50,15 @@
 
     /// Whether this process can forward requests: it has the catalog, some
     /// targets, and the list of evacuated zones.
-    bool is_informed() const
+    bool has_routing_state() const
     {
-        return catalog && knows_targets && evacuations.is_known();
+        return catalog && has_some_targets && evacuations.is_known();
     }
 
     /// Records for how long \a target reports to stay cold.
     void note_cold(const decision::listed_target& target)
     {
-        cold.note_cold(target.start, target.cold_for, now());
+        cold_targets.note_cold(target.start, target.cold_for, now());
     }
 
     /// Returns the load limits of cold targets of \a service.
@@ -68,7 +69,7 @@
     }
 
     /// Returns the retry budget of \a service.
-    decision::retry_budget& retries_of(const std::string& service);
+    decision::retry_budget& retry_budget_for(const std::string& service);
 
     /// Increments the counter \a name with the label \a of set to \a value.
     void count(const std::string& name, const std::string& of,
@@ -79,28 +80,28 @@
 
     asio::io_context& loop;
     const runtime::clock& time;
-    const dialect& speech;
+    const dialect& protocol;
     node_settings settings;
     runtime::metrics metrics;
     catalog::catalog_ptr catalog; ///< Null until the first one is known.
     decision::target_directory directory;
     decision::zone_evacuations evacuations;
-    decision::cold_targets cold;
-    bool knows_targets = false;     ///< Part of the list was received
-                                    ///< from the source or an entry.
-    bool knows_all_targets = false; ///< The whole list was read at least
-                                    ///< once.
+    decision::cold_targets cold_targets;
+    bool has_some_targets = false; ///< Part of the list was received
+                                   ///< from the source or an entry.
+    bool has_all_targets = false;  ///< The whole list was read at least
+                                   ///< once.
     /// End of the time after the start in which requests wait for data that
     /// this process has not read yet: the first catalog and a first target of
     /// the requested service.
-    instant requests_wait_until{};
+    instant startup_wait_end{};
     target_links links;
     decision::target_standing standing;
     decision::engine_selector engines;
     decision::quarantine quarantine;
     /// Returns the rank of this entry among all entries for a subject. The
     /// default ranks this entry as the only one.
-    std::function<decision::ordinal(const std::string&)> seat_for =
+    std::function<decision::ordinal(const std::string&)> ordinal_for =
         [](const std::string&) { return decision::ordinal(); };
     decision::random_source random;
     /// Measured times of the requests of a route.
@@ -108,53 +109,54 @@
     {
         /// From a send to the first event. Starts with a typical time to the
         /// first token, one to two tenths of a second.
-        decision::moving_mean first{std::chrono::milliseconds(150)};
+        decision::moving_mean time_to_first_event{
+            std::chrono::milliseconds(150)};
         /// From the first event to the last one, per requested token.
-        decision::moving_mean per_token{duration::zero()};
+        decision::moving_mean time_per_token{duration::zero()};
         /// From the arrival of a request's head to its first send to a target.
-        decision::moving_mean before{duration::zero()};
+        decision::moving_mean time_to_send{duration::zero()};
 
         /// From a send to the end of the answer.
-        decision::decaying_max answer;
+        decision::decaying_max answer_time;
     };
-    std::map<std::string, route_times> routes; ///< By name.
+    std::map<std::string, route_times> times_by_route; ///< By name.
     piece_maker* pieces = nullptr;
-    std::map<std::string, decision::retry_budget> retries;
-    std::size_t entries_answering = 1; ///< Including this one.
-    std::size_t entries_known = 1;     ///< Highest number that ever answered.
+    std::map<std::string, decision::retry_budget> retry_budgets;
+    std::size_t responding_entries = 1; ///< Including this one.
+    std::size_t peak_entries = 1;       ///< Highest number that ever answered.
     /// Whether enough other entries have answered to know the fleet's size.
-    std::function<bool()> knows_entries = [] { return true; };
+    std::function<bool()> is_fleet_size_known = [] { return true; };
 
     /// Returns the number of entries that share limits of the whole fleet. It
     /// counts entries that do not answer now, as they may still use their
     /// share.
-    std::size_t entries_sharing() const
+    std::size_t fleet_size() const
     {
-        return std::max<std::size_t>(entries_known, settings.seeds.size());
+        return std::max<std::size_t>(peak_entries, settings.seeds.size());
     }
     /// How late the event loop runs. Its owner records the runs of a periodic
     /// timer.
-    decision::loop_lag lateness{turn_interval};
+    decision::loop_lag loop_lag{loop_probe_interval};
     std::optional<decision::drain> drain; ///< Set while the process stops.
     /// Whether enough other entries keep running for longer than this stopping
     /// one to serve its callers.
-    std::function<bool()> is_outlasted = [] { return false; };
+    std::function<bool()> has_other_entries = [] { return false; };
 
     bool is_stopping() const { return drain.has_value(); }
 };
 
 inline decision::retry_budget&
-entry_context::retries_of(const std::string& service)
+entry_context::retry_budget_for(const std::string& service)
 {
-    const auto found = retries.find(service);
-    if (found != retries.end())
+    const auto found = retry_budgets.find(service);
+    if (found != retry_budgets.end())
         return found->second;
     // All entries share one budget, and each uses only its own part of the
     // fixed reserve. Half of the reserve is left for entries that restart with
     // a full part or are not known yet.
     const double reserve =
-        settings.retry_reserve / 2 / static_cast<double>(entries_sharing());
-    return retries
+        settings.retry_reserve / 2 / static_cast<double>(fleet_size());
+    return retry_budgets
         .try_emplace(service, settings.retry_share * 0.9,
                      std::max(1.0, reserve))
         .first->second;
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -25,7 +25,7 @@
 constexpr duration maintenance_interval = std::chrono::seconds(1);
 
 /// How often buffered log lines are written, with one call for all of them.
-constexpr duration log_interval = turn_interval;
+constexpr duration log_interval = loop_probe_interval;
 
 /// Lag of the event loop from which it is logged: far more than one iteration
 /// of the loop should take.
@@ -37,11 +37,11 @@
 } // namespace
 
 entry_process::entry_process(asio::io_context& loop, const runtime::clock& time,
-                             const dialect& speech,
+                             const dialect& protocol,
                              const source_dialect& source,
-                             settings_keeper::reader settings,
+                             settings_reloader::reader settings,
                              std::uint64_t seed)
-    : m_context(loop, time, speech, settings(), seed),
+    : m_context(loop, time, protocol, settings(), seed),
       m_settings(m_context, std::move(settings)), m_gatherer(m_context),
       m_source(m_context, source), m_mesh(m_context, m_source, m_gatherer),
       m_peers(
@@ -50,15 +50,15 @@
           [this](std::size_t known) { return m_mesh.holding(known); },
           [this] { return m_source.catalog_text(); }),
       m_maker(m_context, m_gatherer, m_mesh), m_requests(m_context),
-      m_status(m_context, m_context.settings.readiness,
+      m_status(m_context, m_context.settings.readiness_address,
                [this](const std::string& path) { return answer_status(path); }),
       m_signals(loop, SIGTERM, SIGINT)
 {
     m_context.pieces = &m_maker;
-    m_context.seat_for = [this](const std::string& subject)
+    m_context.ordinal_for = [this](const std::string& subject)
     { return m_mesh.seat_for(subject); };
-    m_context.knows_entries = [this] { return m_mesh.is_settled(); };
-    m_context.is_outlasted = [this] { return m_mesh.is_outlasted(); };
+    m_context.is_fleet_size_known = [this] { return m_mesh.is_settled(); };
+    m_context.has_other_entries = [this] { return m_mesh.is_outlasted(); };
     m_peers.set_asker_notice(
         [this](const std::string& address, const peer::Holding& theirs)
         { m_mesh.note_asker(address, theirs); });
@@ -70,7 +70,8 @@
         return {ok, m_context.metrics.text()};
     if (m_context.drain)
         m_context.drain->note_unready_reply(m_context.now());
-    const bool is_ready = m_context.is_informed() && !m_context.is_stopping();
+    const bool is_ready =
+        m_context.has_routing_state() && !m_context.is_stopping();
     return {is_ready ? ok : service_unavailable, {}};
 }
 
@@ -87,7 +88,7 @@
 awaitable<void> entry_process::stop()
 {
     m_context.drain.emplace(m_context.now(), m_context.settings.grace,
-                            m_context.settings.unready_answers);
+                            m_context.settings.min_unready_replies);
     m_mesh.set_stopping();
     runtime::event("stopping")
         .with("requests", m_requests.requests_in_progress())
@@ -126,9 +127,10 @@
         // The reader of the source expires targets after each watch, but a
         // watch can take seconds, and a removed target must expire sooner.
         m_context.directory.expire(m_context.now());
-        m_context.cold.expire(m_context.now());
-        m_context.metrics.set_gauge({"targets_cold", {}},
-                                    static_cast<double>(m_context.cold.size()));
+        m_context.cold_targets.expire(m_context.now());
+        m_context.metrics.set_gauge(
+            {"targets_cold", {}},
+            static_cast<double>(m_context.cold_targets.size()));
         update_quarantine_metrics();
     }
 }
@@ -163,8 +165,8 @@
 void entry_process::measure_loop_lag()
 {
     const instant now = m_context.now();
-    m_context.lateness.note_timer_run(now);
-    const duration lag = m_context.lateness.lag(now);
+    m_context.loop_lag.note_timer_run(now);
+    const duration lag = m_context.loop_lag.lag(now);
     m_context.metrics.set_gauge({"loop_late_seconds", {}},
                                 std::chrono::duration<double>(lag).count());
     if (lag >= logged_lag)
@@ -175,7 +177,7 @@
 
 void entry_process::run()
 {
-    m_context.requests_wait_until = m_context.now() + first_catalog_wait;
+    m_context.startup_wait_end = m_context.now() + first_catalog_wait;
     m_mesh.set_started();
     start(m_context.loop, watch_signals());
     start(m_context.loop, m_settings.run());
--- a/packages/serving/entry_process.hpp
+++ b/packages/serving/entry_process.hpp
@@ -6,7 +6,7 @@
 #include "serving/peer_mesh.hpp"
 #include "serving/peer_server.hpp"
 #include "serving/request_server.hpp"
-#include "serving/settings_keeper.hpp"
+#include "serving/settings_reloader.hpp"
 #include "serving/source_reader.hpp"
 #include "serving/status_server.hpp"
 
@@ -22,8 +22,8 @@
     /// Reads the settings with \a settings, now and periodically later. Throws
     /// settings_error if they can't be read now.
     entry_process(asio::io_context& loop, const runtime::clock& time,
-                  const dialect& speech, const source_dialect& source,
-                  settings_keeper::reader settings, std::uint64_t seed);
+                  const dialect& protocol, const source_dialect& source,
+                  settings_reloader::reader settings, std::uint64_t seed);
 
     /// Runs until a signal requests a stop and the requests in progress are
     /// done.
@@ -39,7 +39,7 @@
     status_server::reply answer_status(const std::string& path);
 
     entry_context m_context;
-    settings_keeper m_settings;
+    settings_reloader m_settings;
     gatherer m_gatherer;
     source_reader m_source;
     peer_mesh m_mesh;
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -126,7 +126,7 @@
         std::any_of(m_facts.pieces.begin(), m_facts.pieces.end(),
                     [](std::uint32_t one) { return one > 0; }) &&
         !m_route->stages.empty();
-    m_context.retries_of(m_service).note_first_attempt();
+    m_context.retry_budget_for(m_service).note_first_attempt();
     constexpr int most_rounds = 6;
     for (int round = 0; round < most_rounds; ++round)
     {
@@ -178,8 +178,8 @@
     m_sends->note_sent();
     if (m_verdict.outcome != decision::quarantine::admission::unrestricted)
         m_context.quarantine.note_sent(content(), target);
-    m_context.cold.note_sent(target, m_context.warm_up_of(m_service),
-                             m_context.entries_sharing(), m_context.now());
+    m_context.cold_targets.note_sent(target, m_context.warm_up_of(m_service),
+                                     m_context.fleet_size(), m_context.now());
     if (is_engine())
         m_tokens_ahead =
             m_context.engines.note_sent(target, generation(), m_context.now());
@@ -218,7 +218,7 @@
         m_refusal = refusal::stopping;
         co_return attempt_end::given_up;
     }
-    if (is_retry && !m_context.retries_of(m_service).try_spend())
+    if (is_retry && !m_context.retry_budget_for(m_service).try_spend())
     {
         if (m_refusal == refusal::none)
             m_refusal = refusal::retries_spent;
@@ -235,12 +235,12 @@
     m_refusal = refusal::none;
     const decision::target_start id = target->start;
     m_call = std::make_shared<target_call>(
-        m_context.links, m_context.speech,
+        m_context.links, m_context.protocol,
         call_target{id, runtime::address::parse(target->address)});
     http_request sent;
     // The fields hold method and path too, so they are assigned first.
     static_cast<http_fields&>(sent.base()) =
-        m_context.speech.forwarded(m_request, marks_for(*target));
+        m_context.protocol.forwarded(m_request, marks_for(*target));
     sent.method_string(m_request.method_string());
     sent.target(m_request.target());
     sent.body() = m_request.body();
@@ -248,13 +248,14 @@
     const instant began = m_context.now();
     m_sent_at = began;
     if (!is_retry)
-        m_context.routes[m_route->name].before.add(began - m_began);
+        m_context.times_by_route[m_route->name].time_to_send.add(began -
+                                                                 m_began);
     const auto begun = co_await m_call->begin(sent, m_facts.id, patience());
     if (begun == target_call::state::good)
     {
         note_alive(m_context, id, m_call->opened_at());
-        m_context.cold.note_answered(id, m_context.warm_up_of(m_service).time,
-                                     m_context.now());
+        m_context.cold_targets.note_answered(
+            id, m_context.warm_up_of(m_service).time, m_context.now());
     }
     attempt_end end = attempt_end::given_up;
     if (m_session->has_left())
@@ -296,7 +297,7 @@
                                 how == target_call::state::broken;
     if (may_have_ended &&
         m_context.warm_up_of(m_service).time > duration::zero())
-        m_context.cold.note_lost(target, now);
+        m_context.cold_targets.note_lost(target, now);
     m_is_noted = true;
     switch (how)
     {
--- a/packages/serving/exchange_admission.cpp
+++ b/packages/serving/exchange_admission.cpp
@@ -8,7 +8,7 @@
 
 bool exchange::has_catalog() const
 {
-    return m_context.is_informed();
+    return m_context.has_routing_state();
 }
 
 // Where all entries start at once, callers come before any of them has read
@@ -26,14 +26,14 @@
     co_await wait_at_start(
         [this]
         {
-            return m_context.knows_all_targets ||
+            return m_context.has_all_targets ||
                    !m_context.directory.serving(m_service).empty();
         });
 }
 
 awaitable<void> exchange::wait_at_start(std::function<bool()> is_there)
 {
-    while (!is_there() && m_context.now() < m_context.requests_wait_until &&
+    while (!is_there() && m_context.now() < m_context.startup_wait_end &&
            !m_session->has_left())
         co_await wait_a_moment();
 }
@@ -50,7 +50,7 @@
 {
     try
     {
-        m_facts = m_context.speech.facts(m_request);
+        m_facts = m_context.protocol.facts(m_request);
         check_facts(m_facts);
     }
     catch (const facts_error& fault)
@@ -109,30 +109,31 @@
     if (m_context.drain->is_out_of_rotation(now))
         m_ends_by = m_context.drain->request_deadline();
     return !m_context.drain->accepts(now, expected_time(),
-                                     m_context.is_outlasted());
+                                     m_context.has_other_entries());
 }
 
 decision::drain::request_duration exchange::expected_time() const
 {
-    const auto known = m_context.routes.find(m_route->name);
-    if (known == m_context.routes.end())
+    const auto known = m_context.times_by_route.find(m_route->name);
+    if (known == m_context.times_by_route.end())
         return {left(), left()};
     const entry_context::route_times& times = known->second;
-    const duration answer =
-        times.first.mean() + times.per_token.mean() * tokens_out();
-    return {times.before.mean() + answer,
-            std::min(left(), times.before.mean_plus(1) + longest_answer())};
+    const duration answer = times.time_to_first_event.mean() +
+                            times.time_per_token.mean() * tokens_out();
+    return {
+        times.time_to_send.mean() + answer,
+        std::min(left(), times.time_to_send.mean_plus(1) + longest_answer())};
 }
 
 // Half more than the longest that was seen lately: answers of one route differ
 // by several times.
 duration exchange::longest_answer() const
 {
-    const auto known = m_context.routes.find(m_route->name);
-    if (known == m_context.routes.end() ||
-        known->second.answer.value() == duration::zero())
+    const auto known = m_context.times_by_route.find(m_route->name);
+    if (known == m_context.times_by_route.end() ||
+        known->second.answer_time.value() == duration::zero())
         return left();
-    const duration seen = known->second.answer.value();
+    const duration seen = known->second.answer_time.value();
     return seen + seen / 2;
 }
 
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -66,7 +66,7 @@
     // of one target or one moment.
     const bool may_improve = status >= 500 && m_sends->may_send() &&
                              !m_is_head_sent && !is_over() &&
-                             m_context.retries_of(m_service).has_retry();
+                             m_context.retry_budget_for(m_service).has_retry();
     if (may_improve)
     {
         m_refusal = refusal::target_lost;
@@ -83,14 +83,14 @@
     if (is_success(status))
     {
         note_served(m_context, content());
-        auto& times = m_context.routes[m_route->name];
-        times.first.add(m_context.now() - m_sent_at);
-        times.answer.add(m_context.now() - m_sent_at);
+        auto& times = m_context.times_by_route[m_route->name];
+        times.time_to_first_event.add(m_context.now() - m_sent_at);
+        times.answer_time.add(m_context.now() - m_sent_at);
     }
     m_first_at = m_context.now();
     const std::string body = call.take_body();
     co_await m_session->send_answer(
-        status, m_context.speech.returned(call.head()), body);
+        status, m_context.protocol.returned(call.head()), body);
     co_return attempt_end::answered;
 }
 
@@ -99,7 +99,7 @@
     std::string bytes;
     if (!m_is_head_sent)
     {
-        http_fields fields = m_context.speech.returned(call.head());
+        http_fields fields = m_context.protocol.returned(call.head());
         fields.set(http::field::transfer_encoding, "chunked");
         if (!m_session->stays_open())
             fields.set(http::field::connection, "close");
@@ -141,8 +141,8 @@
                 m_context.engines.note_prompt_read(call.target().start,
                                                    m_tokens_ahead);
                 m_context.engines.note_answered(call.target().start);
-                m_context.routes[m_route->name].first.add(m_context.now() -
-                                                          m_sent_at);
+                m_context.times_by_route[m_route->name].time_to_first_event.add(
+                    m_context.now() - m_sent_at);
                 if (m_stages)
                     m_stages->release();
             }
@@ -182,9 +182,9 @@
     note_served(m_context, content());
     if (m_sends->sends() == 1)
     {
-        auto& times = m_context.routes[m_route->name];
-        times.per_token.add((m_context.now() - m_first_at) / tokens_out());
-        times.answer.add(m_context.now() - m_sent_at);
+        auto& times = m_context.times_by_route[m_route->name];
+        times.time_per_token.add((m_context.now() - m_first_at) / tokens_out());
+        times.answer_time.add(m_context.now() - m_sent_at);
     }
     if (!co_await m_session->send("0\r\n\r\n"))
         m_session->close_after();
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -38,9 +38,9 @@
             m_verdict.incidents)
         return;
     const instant now = m_context.now();
-    m_verdict =
-        known.judge(content(), now,
-                    [this] { return m_context.seat_for(to_text(content())); });
+    m_verdict = known.judge(
+        content(), now,
+        [this] { return m_context.ordinal_for(to_text(content())); });
     m_is_trial = m_verdict.outcome == decision::quarantine::admission::trial;
     if (m_verdict.outcome == decision::quarantine::admission::held)
         known.note_waiting(content(), now);
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -62,7 +62,7 @@
         return std::to_string(static_cast<std::uint64_t>(
             std::ceil(seconds(m_verdict.retry_after).count())));
     constexpr double soonest_s = 0.05;
-    if (m_refusal == refusal::stopping && m_context.is_outlasted())
+    if (m_refusal == refusal::stopping && m_context.has_other_entries())
         return std::to_string(soonest_s).substr(0, 5);
     const double left_s =
         seconds(m_facts.budget ? *m_facts.budget - (m_context.now() - m_began)
@@ -100,7 +100,7 @@
     http_fields fields;
     fields.set(http::field::content_type, "application/json");
     if (!m_facts.id.empty())
-        for (const auto& one : m_context.speech.echo(m_facts.id))
+        for (const auto& one : m_context.protocol.echo(m_facts.id))
             fields.set(one.name_string(), one.value());
     if (status == 503)
         fields.set(http::field::retry_after, back_after());
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -31,10 +31,11 @@
 // which nobody has any use of.
 instant exchange::stages_end() const
 {
-    const auto known = m_context.routes.find(m_route->name);
-    const duration rest = known == m_context.routes.end()
-                              ? duration::zero()
-                              : known->second.per_token.mean() * tokens_out();
+    const auto known = m_context.times_by_route.find(m_route->name);
+    const duration rest =
+        known == m_context.times_by_route.end()
+            ? duration::zero()
+            : known->second.time_per_token.mean() * tokens_out();
     const instant whole = m_deadline - rest;
     return m_route->patience == duration::zero()
                ? whole
@@ -57,14 +58,16 @@
     auto end = decision::job_status::failed;
     // How long an engine takes depends on the prompt and the answer, and so on
     // the route.
-    const auto& engine = m_context.routes[m_route->name];
+    const auto& engine = m_context.times_by_route[m_route->name];
     for (int one = 0; one < most_tries && !is_over(); ++one)
     {
         drop_stages();
         m_stages = std::make_unique<stage_runner>(
             m_context, *m_route, m_facts, content(), likely_zone(), yields(),
-            m_began + m_route->aim - engine.first.mean_plus(1),
-            std::min(stages_end() - engine.first.mean(), last_send()));
+            m_began + m_route->latency_objective -
+                engine.time_to_first_event.mean_plus(1),
+            std::min(stages_end() - engine.time_to_first_event.mean(),
+                     last_send()));
         end = co_await m_stages->run();
         if (m_session->has_left_unseen())
             co_return false;
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -20,21 +20,20 @@
     const auto& all = m_context.directory.serving(m_service);
     const decision::warm_up bears = m_context.warm_up_of(m_service);
     m_cold_until.reset();
-    if (bears.time <= duration::zero() || !m_context.cold.has_any())
+    if (bears.time <= duration::zero() || !m_context.cold_targets.has_any())
         return all;
     const instant now = m_context.now();
-    const bool knows_entries = m_context.knows_entries();
+    const bool knows_entries = m_context.is_fleet_size_known();
     std::vector<const decision::listed_target*> open;
     for (const auto* one : all)
     {
-        if (!m_context.cold.is_cold(one->start, now))
+        if (!m_context.cold_targets.is_cold(one->start, now))
         {
             open.push_back(one);
             continue;
         }
-        const instant next = m_context.cold.next_send(
-            one->start, bears, m_context.entries_sharing(), now,
-            m_context.random);
+        const instant next = m_context.cold_targets.next_send(
+            one->start, bears, m_context.fleet_size(), now, m_context.random);
         if (next <= now && knows_entries)
             open.push_back(one);
         else if (!m_cold_until || next < *m_cold_until)
--- a/packages/serving/gatherer.cpp
+++ b/packages/serving/gatherer.cpp
@@ -162,10 +162,10 @@
     }
     const instant began = m_context.now();
     const auto sent = std::make_shared<target_call>(
-        m_context.links, m_context.speech,
+        m_context.links, m_context.protocol,
         call_target{target->start, runtime::address::parse(target->address)});
     const http_request request =
-        m_context.speech.make_pieces(plan.target.id, orders(one, plan));
+        m_context.protocol.make_pieces(plan.target.id, orders(one, plan));
     const duration most = plan.expected_time * most_times + most_more;
     start(m_context.loop, note_fetched(service, plan, fetch_time(one, plan)));
     auto got = co_await sent->begin(request, {}, most);
@@ -182,7 +182,7 @@
         try
         {
             take_results(one, plan,
-                         m_context.speech.piece_results(sent->take_body()));
+                         m_context.protocol.piece_results(sent->take_body()));
         }
         catch (const facts_error& fault)
         {
@@ -247,10 +247,10 @@
         if (maker.id.empty())
             continue;
         const auto sent = std::make_shared<target_call>(
-            m_context.links, m_context.speech,
+            m_context.links, m_context.protocol,
             call_target{maker, runtime::address::parse(where)});
         auto got = co_await sent->begin(
-            m_context.speech.release_results(handles), {}, most_more);
+            m_context.protocol.release_results(handles), {}, most_more);
         while (got == target_call::state::good && !sent->is_complete())
             got = co_await sent->more(most_more);
         if (got != target_call::state::good)
--- a/packages/serving/gatherer.hpp
+++ b/packages/serving/gatherer.hpp
@@ -61,7 +61,7 @@
 
     struct line
     {
-        explicit line(const catalog::call_shape& shape) : planner(shape) {}
+        explicit line(const catalog::call_profile& shape) : planner(shape) {}
         decision::call_planner planner;
         std::map<std::uint64_t, asked_job> asked;
         std::map<std::string, std::vector<std::string>> to_release;
@@ -88,7 +88,7 @@
                              bool is_late);
     foresight look_ahead(const decision::stage_job& job, duration call,
                          bool is_late) const;
-    const catalog::call_shape* shape_of(const std::string& service) const;
+    const catalog::call_profile* shape_of(const std::string& service) const;
     void note_begun(const line& one, const decision::planned_call& plan);
     line* line_of(const std::string& service);
     void update_targets(const std::string& service, line& one);
--- a/packages/serving/gatherer_outlook.cpp
+++ b/packages/serving/gatherer_outlook.cpp
@@ -46,9 +46,10 @@
         const duration wait =
             m_later.expected_wait(one.service, now, arrives_in, is_late);
         const duration most =
-            shape->per_call * (is_late ? late_within : begin_within);
+            shape->time_per_call * (is_late ? late_within : begin_within);
         seen.may_begin = seen.may_begin && wait <= most;
-        arrives_in += wait + m_later.call_time(one.service, shape->per_call);
+        arrives_in +=
+            wait + m_later.call_time(one.service, shape->time_per_call);
     }
     seen.time_after = arrives_in - call;
     return seen;
@@ -74,7 +75,8 @@
     return m_foreseen.emplace_back(look_ahead(job, call, is_late));
 }
 
-const catalog::call_shape* gatherer::shape_of(const std::string& service) const
+const catalog::call_profile*
+gatherer::shape_of(const std::string& service) const
 {
     const auto* found = m_context.catalog->find_service(service);
     return found != nullptr && found->calls ? &*found->calls : nullptr;
@@ -101,14 +103,15 @@
                 static_cast<duration::rep>(std::max<std::size_t>(
                     1, m_context.directory.serving(next.service).size()));
             const duration per_piece =
-                (shape->per_call / shape->most_pieces + shape->per_piece) /
+                (shape->time_per_call / shape->max_pieces +
+                 shape->time_per_piece) /
                 targets;
             const duration wait = m_later.expected_wait(
                 next.service, now, arrives_in, job->is_late);
             m_later.note_started(next, per_piece, now, arrives_in,
                                  job->is_late);
             arrives_in +=
-                wait + m_later.call_time(next.service, shape->per_call);
+                wait + m_later.call_time(next.service, shape->time_per_call);
         }
     }
 }
--- a/packages/serving/gatherer_results.cpp
+++ b/packages/serving/gatherer_results.cpp
@@ -66,7 +66,7 @@
 
 void gatherer::let_go(line& one, const std::string& handle)
 {
-    one.to_release[m_context.speech.maker_of(handle)].push_back(handle);
+    one.to_release[m_context.protocol.maker_of(handle)].push_back(handle);
 }
 
 // A full target ran nothing, so nothing was lost. Counted as losses, three
--- a/packages/serving/node_settings.hpp
+++ b/packages/serving/node_settings.hpp
@@ -24,30 +24,31 @@
     std::string name;
     std::string zone;
     std::string region;
-    runtime::address callers;            ///< Listens for callers.
-    runtime::address readiness;          ///< Listens for the load balancer's
+    runtime::address caller_address;     ///< Listens for callers.
+    runtime::address readiness_address;  ///< Listens for the load balancer's
                                          ///< readiness checks.
-    runtime::address peers;              ///< Listens for other entries.
-    runtime::address announced;          ///< Where other entries reach
-                                         ///< \c peers; differs from it behind
-                                         ///< a proxy.
-    runtime::address source;             ///< Publishes the configuration and
+    runtime::address peer_address;       ///< Listens for other entries.
+    runtime::address announced_address;  ///< Where other entries reach
+                                         ///< \c peer_address; differs from it
+                                         ///< behind a proxy.
+    runtime::address source_address;     ///< Publishes the configuration and
                                          ///< the list of targets.
     std::vector<runtime::address> seeds; ///< First entries to contact; some may
                                          ///< no longer exist.
-    duration grace{};         ///< From the stop signal to the exit at
-                              ///< the latest.
-    int unready_answers = 2;  ///< Number of "not ready" replies after which the
-                              ///< load balancer sends no new callers here.
-    double retry_share = 0.1; ///< Retries allowed as a share of a service's
-                              ///< requests.
+    duration grace{};                    ///< From the stop signal to the exit.
+    /// Number of "not ready" replies after which the load balancer sends no new
+    /// callers here.
+    int min_unready_replies = 2;
+    double retry_share = 0.1;  ///< Retries allowed as a share of a service's
+                               ///< requests.
     double retry_reserve = 10; ///< Additional retries in each window.
     duration retry_window{};
-    duration leaving_time{};  ///< Within which leaving targets get no more
-                              ///< work.
-    duration adoption_time{}; ///< Within which a new configuration is in force.
+    duration max_leaving_delay{}; ///< Within which leaving targets get no more
+                                  ///< work.
+    duration max_configuration_delay{}; ///< Within which a new configuration is
+                                        ///< in force.
     std::size_t memory_bytes = 0;
-    std::size_t most_descriptors = 1024;
+    std::size_t max_descriptors = 1024;
     double cores = 1;
 
     friend bool operator==(const node_settings&,
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -67,7 +67,8 @@
     m_socket = std::make_shared<frame_socket>(std::move(*socket));
     m_news.begin_anew();
     peer::Frame hello;
-    hello.mutable_hello()->set_address(m_context.settings.announced.text());
+    hello.mutable_hello()->set_address(
+        m_context.settings.announced_address.text());
     m_socket->send(hello);
     co_return true;
 }
@@ -258,7 +259,7 @@
                     piece_wait_ptr wait)
 {
     if (m_asked.empty())
-        m_watch_now.raise();
+        m_watch_now.set();
     job.number = m_next_number++;
     m_socket->send(job_frame(service, job, m_context.now()));
     m_asked[job.number] = {service, std::move(job), std::move(wait)};
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -80,7 +80,7 @@
                  const std::vector<std::string>& handles);
 
     /// Asks the other entry now, not when the next question is due.
-    void ask_now() { m_watch_now.raise(); }
+    void ask_now() { m_watch_now.set(); }
 
     /// Tells the other entry to send no more of what it sends in parts.
     void drop_copy();
@@ -107,10 +107,10 @@
     duration m_connect_time; ///< Of the next try.
     instant m_heard_at{};
     bool m_is_alive = false;
-    bool m_is_silent = false; ///< It answers no more, and was closed here.
-    signal_point m_watch_now; ///< It is to be asked now.
+    bool m_is_silent = false;     ///< It answers no more, and was closed here.
+    auto_reset_event m_watch_now; ///< It is to be asked now.
     bool m_is_closed = false;
-    catalog_collector m_catalog;
+    catalog_assembler m_catalog;
     end_news m_news; ///< On the present connection.
 };
 
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -23,7 +23,8 @@
 peer_mesh::peer_mesh(entry_context& context, source_reader& source,
                      gatherer& own)
     : m_context(context), m_source(source), m_gatherer(own),
-      m_roster(context.settings.announced.text(), context.settings.cores)
+      m_roster(context.settings.announced_address.text(),
+               context.settings.cores)
 {
     context.quarantine.set_own_name(m_roster.own_address());
 }
@@ -57,7 +58,7 @@
 
 peer_link* peer_mesh::gathering(const std::string& service)
 {
-    m_roster.set_has_catalog(m_context.is_informed());
+    m_roster.set_has_catalog(m_context.has_routing_state());
     const auto found = m_links.find(m_roster.batching_entry(service));
     return found == m_links.end() ? nullptr : found->second.get();
 }
@@ -81,7 +82,7 @@
 void peer_mesh::note_asker(const std::string& address,
                            const peer::Holding& theirs)
 {
-    take_zone_words(m_context, zones_of(theirs), address);
+    apply_zone_evacuations(m_context, zones_of(theirs), address);
     if (theirs.is_stopping())
         m_roster.note_stopping(address, m_context.now() -
                                             duration(theirs.stopping_for_ns()));
@@ -109,7 +110,7 @@
     if (m_context.drain)
         own.set_stopping_for_ns(
             (m_context.now() - m_context.drain->started_at()).count());
-    own.set_has_targets(m_context.knows_targets);
+    own.set_has_targets(m_context.has_some_targets);
     own.set_ends_summary(m_context.quarantine.crashes().summary());
     write_zones(m_context.evacuations.known(), own);
     for (const auto& [service, said] : m_gatherer.waits())
@@ -140,9 +141,9 @@
 
 bool peer_mesh::asks(decision::catch_up& lacking, const std::string& address)
 {
-    lacking.set_bound(m_context.settings.adoption_time);
+    lacking.set_bound(m_context.settings.max_configuration_delay);
     const std::string before = lacking.under_way();
-    if (!lacking.asks(address, m_source.state(), m_context.now()))
+    if (!lacking.asks(address, m_source.source_state(), m_context.now()))
         return false;
     if (!before.empty() && before != address)
         drop_copy(before);
@@ -180,7 +181,7 @@
     m_context.count("relay_asked", "what", "targets");
     runtime::event("targets_asked_for")
         .with("entry", address)
-        .with("is_list_whole", m_context.knows_all_targets)
+        .with("is_list_whole", m_context.has_all_targets)
         .info();
     return true;
 }
@@ -194,9 +195,8 @@
                           theirs.catalog_version() > 0 && theirs.has_targets(),
                           duration(theirs.stopping_for_ns())},
                          m_context.now());
-    m_context.entries_known =
-        std::max(m_context.entries_known, m_roster.size());
-    take_zone_words(m_context, zones_of(theirs), address);
+    m_context.peak_entries = std::max(m_context.peak_entries, m_roster.size());
+    apply_zone_evacuations(m_context, zones_of(theirs), address);
     for (const std::string& one : theirs.entries())
         add(one);
     for (const peer::Backlog& one : theirs.backlogs())
@@ -224,7 +224,7 @@
         .with("bytes", text.size())
         .info();
     m_lacks_catalog.note_end(address, m_context.now());
-    m_source.adopt(text, "entry");
+    m_source.apply_catalog(text, "entry");
 }
 
 void peer_mesh::note_declined(const std::string& address)
@@ -239,7 +239,8 @@
     for (const decision::listed_target& one :
          serving::take_targets(targets, m_context.directory))
         m_context.note_cold(one);
-    m_context.knows_targets = m_context.knows_targets || targets.targets_size();
+    m_context.has_some_targets =
+        m_context.has_some_targets || targets.targets_size();
     if (targets.has_more())
         m_lacks_targets.note_part(address, m_context.now());
     else
@@ -304,7 +305,7 @@
         co_await timer.async_wait(into(ignored));
         forget_lost();
         update_services();
-        m_context.entries_answering = m_roster.size();
+        m_context.responding_entries = m_roster.size();
         m_source.end_long_watch();
     }
 }
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -22,7 +22,7 @@
       m_holding(std::move(holding)), m_catalog_text(std::move(catalog_text)),
       m_acceptor(context.loop)
 {
-    listen_at(m_acceptor, context.settings.peers);
+    listen_at(m_acceptor, context.settings.peer_address);
 }
 
 awaitable<void> peer_server::run()
@@ -130,7 +130,7 @@
     if (!text)
         return;
     if (want.in_parts())
-        return socket->send_in_parts(catalog_parts(text));
+        return socket->send_in_parts(catalog_part_source(text));
     reply.mutable_catalog()->set_text(*text);
     socket->send(reply);
 }
--- a/packages/serving/piece_maker.hpp
+++ b/packages/serving/piece_maker.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decision/stage_job.hpp"
-#include "serving/signal_point.hpp"
+#include "serving/auto_reset_event.hpp"
 
 #include <memory>
 #include <optional>
@@ -26,7 +26,7 @@
 class piece_wait
 {
 public:
-    explicit piece_wait(std::shared_ptr<signal_point> changed)
+    explicit piece_wait(std::shared_ptr<auto_reset_event> changed)
         : m_changed(std::move(changed))
     {
     }
@@ -36,7 +36,7 @@
         if (m_is_dropped || m_outcome)
             return;
         m_outcome = std::move(value);
-        m_changed->raise();
+        m_changed->set();
     }
 
     const std::optional<piece_outcome>& outcome() const { return m_outcome; }
@@ -45,7 +45,7 @@
     void set_fetched()
     {
         m_is_fetched = true;
-        m_changed->raise();
+        m_changed->set();
     }
     bool is_fetched() const { return m_is_fetched; }
 
@@ -54,7 +54,7 @@
     bool is_dropped() const { return m_is_dropped; }
 
 private:
-    std::shared_ptr<signal_point> m_changed;
+    std::shared_ptr<auto_reset_event> m_changed;
     std::optional<piece_outcome> m_outcome;
     bool m_is_fetched = false;
     bool m_is_dropped = false;
--- a/packages/serving/request_server.cpp
+++ b/packages/serving/request_server.cpp
@@ -22,7 +22,7 @@
 request_server::request_server(entry_context& context)
     : m_context(context), m_acceptor(context.loop)
 {
-    listen_at(m_acceptor, context.settings.callers);
+    listen_at(m_acceptor, context.settings.caller_address);
 }
 
 awaitable<void> request_server::run()
--- a/packages/serving/request_server.hpp
+++ b/packages/serving/request_server.hpp
@@ -24,7 +24,7 @@
     bool is_stopping() const override { return m_context.is_stopping(); }
     duration lateness() const override
     {
-        return m_context.lateness.lag(m_context.now());
+        return m_context.loop_lag.lag(m_context.now());
     }
 
     std::size_t requests_in_progress() const { return m_in_progress; }
--- a/packages/serving/settings_keeper.cpp
+++ b/packages/serving/settings_reloader.cpp
@@ -1,4 +1,4 @@
-#include "serving/settings_keeper.hpp"
+#include "serving/settings_reloader.hpp"
 
 #include "runtime/event.hpp"
 
@@ -17,8 +17,10 @@
 
 bool has_same_addresses(const node_settings& left, const node_settings& right)
 {
-    return left.callers == right.callers && left.readiness == right.readiness &&
-           left.peers == right.peers && left.announced == right.announced;
+    return left.caller_address == right.caller_address &&
+           left.readiness_address == right.readiness_address &&
+           left.peer_address == right.peer_address &&
+           left.announced_address == right.announced_address;
 }
 
 bool has_same_retry_limits(const node_settings& left,
@@ -30,7 +32,7 @@
 
 } // namespace
 
-settings_keeper::settings_keeper(entry_context& context, reader read)
+settings_reloader::settings_reloader(entry_context& context, reader read)
     : m_context(context), m_read(std::move(read)),
       m_last_read(context.settings), m_hangup(context.loop, SIGHUP)
 {
@@ -39,7 +41,7 @@
 // The file can be read while it is being written, or contain a mistake. If the
 // process exited or lost its settings then, its callers would be disconnected.
 // The previous settings stay in force until a valid file can be read.
-settings_keeper::outcome settings_keeper::read_again(std::string_view why)
+settings_reloader::outcome settings_reloader::reload(std::string_view why)
 {
     node_settings read;
     try
@@ -54,36 +56,36 @@
                 .with("fault", fault.what())
                 .error();
         m_fault = fault.what();
-        return outcome::refused;
+        return outcome::rejected;
     }
     m_fault.clear();
     if (read == m_last_read)
-        return outcome::same;
+        return outcome::unchanged;
     m_last_read = read;
     if (!has_same_addresses(read, m_context.settings))
     {
         // Callers and other entries are connected to the present addresses.
         runtime::event("settings_need_restart")
-            .with("callers", read.callers.text())
-            .with("readiness", read.readiness.text())
-            .with("peers", read.peers.text())
+            .with("callers", read.caller_address.text())
+            .with("readiness", read.readiness_address.text())
+            .with("peers", read.peer_address.text())
             .warn();
-        read.callers = m_context.settings.callers;
-        read.readiness = m_context.settings.readiness;
-        read.peers = m_context.settings.peers;
-        read.announced = m_context.settings.announced;
+        read.caller_address = m_context.settings.caller_address;
+        read.readiness_address = m_context.settings.readiness_address;
+        read.peer_address = m_context.settings.peer_address;
+        read.announced_address = m_context.settings.announced_address;
     }
     if (!has_same_retry_limits(read, m_context.settings))
-        m_context.retries.clear();
+        m_context.retry_budgets.clear();
     m_context.settings = std::move(read);
     runtime::event("settings_taken")
         .with("why", why)
         .with("seeds", m_context.settings.seeds.size())
         .info();
-    return outcome::taken;
+    return outcome::applied;
 }
 
-awaitable<void> settings_keeper::run()
+awaitable<void> settings_reloader::run()
 {
     for (;;)
     {
@@ -97,7 +99,7 @@
         error_code fault;
         co_await m_hangup.async_wait(into(fault));
         timer.cancel();
-        read_again(fault ? "interval" : "signal");
+        reload(fault ? "interval" : "signal");
     }
 }
 
--- a/packages/serving/settings_keeper.hpp
+++ b/packages/serving/settings_reloader.hpp
@@ -12,14 +12,14 @@
 
 /// Reloads the settings of a running process when an operator changes them, so
 /// that most changes need no restart.
-class settings_keeper
+class settings_reloader
 {
 public:
     /// Returns the settings as currently written. Throws settings_error if they
     /// can't be read.
     using reader = std::function<node_settings()>;
 
-    settings_keeper(entry_context& context, reader read);
+    settings_reloader(entry_context& context, reader read);
 
     /// Reloads the settings after each SIGHUP, and periodically to detect
     /// changes without a signal. Never returns.
@@ -27,13 +27,13 @@
 
     enum class outcome : std::uint8_t
     {
-        same,   ///< No difference from the previous read.
-        taken,  ///< Changes are in force, except those that need a restart.
-        refused ///< Unreadable; the previous settings stay in force.
+        unchanged, ///< No difference from the previous read.
+        applied,   ///< Changes are in force, except those that need a restart.
+        rejected   ///< Unreadable; the previous settings stay in force.
     };
 
     /// Reads the settings and applies the changes that need no restart.
-    outcome read_again(std::string_view why);
+    outcome reload(std::string_view why);
 
 private:
     entry_context& m_context;
--- a/packages/serving/source.hpp
+++ b/packages/serving/source.hpp
@@ -13,7 +13,7 @@
 {
 
 /// Why a record in the list of targets can't be used.
-enum class entry_fault : std::uint8_t
+enum class record_fault : std::uint8_t
 {
     none,
     bytes,  ///< Not parsable.
@@ -22,12 +22,12 @@
     address ///< Invalid.
 };
 
-std::string_view to_string(entry_fault value);
+std::string_view to_string(record_fault value);
 
 /// One record of the source, or a change of one.
 struct source_change
 {
-    enum class kind : std::uint8_t
+    enum class record_kind : std::uint8_t
     {
         catalog,
         target,
@@ -37,12 +37,12 @@
         other
     };
 
-    kind what = kind::other;
+    record_kind kind = record_kind::other;
     std::uint64_t revision = 0;
     std::string catalog; ///< Serialized.
     decision::listed_target target;
     decision::zone_word zone;
-    entry_fault fault = entry_fault::none;
+    record_fault fault = record_fault::none;
 
     friend bool operator==(const source_change&,
                            const source_change&) = default;
@@ -69,22 +69,23 @@
 
     /// Returns the request for the page of declarations by operators that
     /// follows the key \a after: the catalog and the evacuated zones.
-    virtual http_request read_declarations(const std::string& after) const = 0;
+    virtual http_request
+    declarations_request(const std::string& after) const = 0;
     /// Returns the content of an answer with declarations. Throws facts_error.
-    virtual source_page declarations_page(std::string_view body) const = 0;
+    virtual source_page parse_declarations(std::string_view body) const = 0;
 
     /// Returns the request for the page of the target list that follows the key
     /// \a after.
-    virtual http_request read_targets(const std::string& after) const = 0;
+    virtual http_request targets_request(const std::string& after) const = 0;
     /// Returns the content of an answer with targets. Throws facts_error.
-    virtual source_page targets_page(std::string_view body) const = 0;
+    virtual source_page parse_targets(std::string_view body) const = 0;
 
     /// Returns the request that waits for changes after \a revision for up to
     /// \a timeout.
-    virtual http_request watch(std::uint64_t revision,
-                               duration timeout) const = 0;
+    virtual http_request watch_request(std::uint64_t revision,
+                                       duration timeout) const = 0;
     /// Returns the content of an answer to a watch. Throws facts_error.
-    virtual source_page changes_page(std::string_view body) const = 0;
+    virtual source_page parse_changes(std::string_view body) const = 0;
 
     /// Returns the catalog that \a text serializes. Throws facts_error.
     virtual catalog::document parse_catalog(std::string_view text) const = 0;
--- a/packages/serving/source_reader.cpp
+++ b/packages/serving/source_reader.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-std::string_view to_string(entry_fault value)
+std::string_view to_string(record_fault value)
 {
     constexpr std::array<std::string_view, 5> names{"none", "bytes", "fields",
                                                     "state", "address"};
@@ -40,12 +40,13 @@
 }
 
 source_reader::source_reader(entry_context& context,
-                             const source_dialect& speech)
-    : m_context(context), m_dialect(speech)
+                             const source_dialect& dialect)
+    : m_context(context), m_dialect(dialect)
 {
 }
 
-void source_reader::adopt(const std::string& text, std::string_view from)
+void source_reader::apply_catalog(const std::string& text,
+                                  std::string_view from)
 {
     try
     {
@@ -74,7 +75,7 @@
     }
 }
 
-decision::catch_up::source_state source_reader::state() const
+decision::catch_up::source_state source_reader::source_state() const
 {
     const bool is_receiving =
         m_received_at && m_context.now() < *m_received_at + read_time;
@@ -109,8 +110,8 @@
 {
     status = 0;
     const auto sent = std::make_shared<target_call>(
-        m_context.links, m_context.speech,
-        call_target{"source", m_context.settings.source});
+        m_context.links, m_context.protocol,
+        call_target{"source", m_context.settings.source_address});
     m_current_call = sent;
     const instant began = m_context.now();
     auto result = co_await sent->begin(request, {}, time_limit);
@@ -156,18 +157,18 @@
 {
     unsigned status = 0;
     const auto body =
-        co_await fetch(m_dialect.read_declarations(m_list.last_declaration),
+        co_await fetch(m_dialect.declarations_request(m_list.last_declaration),
                        read_time, status);
     if (!body || status != ok)
         co_return false;
-    const source_page page = m_dialect.declarations_page(*body);
+    const source_page page = m_dialect.parse_declarations(*body);
     if (m_list.zones.whole_at == 0)
         m_list.zones.whole_at = page.revision;
     for (const source_change& change : page.changes)
     {
-        if (change.what == source_change::kind::catalog)
-            adopt(change.catalog, "source");
-        if (change.what != source_change::kind::zone)
+        if (change.kind == source_change::record_kind::catalog)
+            apply_catalog(change.catalog, "source");
+        if (change.kind != source_change::record_kind::zone)
             continue;
         // The record existed at the revision of the first page or was written
         // later.
@@ -178,7 +179,7 @@
     m_list.last_declaration = page.last_key;
     m_list.are_declarations_read = !page.has_more;
     if (m_list.are_declarations_read)
-        take_zone_words(m_context, m_list.zones, "source");
+        apply_zone_evacuations(m_context, m_list.zones, "source");
     co_return true;
 }
 
@@ -189,11 +190,11 @@
 awaitable<bool> source_reader::read_page()
 {
     unsigned status = 0;
-    const auto body = co_await fetch(m_dialect.read_targets(m_list.last_target),
-                                     read_time, status);
+    const auto body = co_await fetch(
+        m_dialect.targets_request(m_list.last_target), read_time, status);
     if (!body || status != ok)
         co_return false;
-    const source_page page = m_dialect.targets_page(*body);
+    const source_page page = m_dialect.parse_targets(*body);
     // The pages are not a consistent snapshot: the watch starts at the revision
     // of the first page and repeats the changes since.
     if (m_list.pages == 0)
@@ -202,16 +203,16 @@
     std::vector<decision::listed_target> page_targets;
     for (const source_change& change : page.changes)
     {
-        if (change.what == source_change::kind::target)
+        if (change.kind == source_change::record_kind::target)
         {
             page_targets.push_back(change.target);
             m_context.note_cold(change.target);
         }
-        if (change.what == source_change::kind::target_unreadable)
+        if (change.kind == source_change::record_kind::target_unreadable)
             report_unreadable(change);
     }
     m_context.directory.note_listed(page_targets);
-    m_context.knows_targets = true;
+    m_context.has_some_targets = true;
     m_list.targets.insert(m_list.targets.end(), page_targets.begin(),
                           page_targets.end());
     m_list.has_more = page.has_more;
@@ -223,7 +224,7 @@
 {
     m_context.directory.note_all(m_list.targets, m_list.revision,
                                  m_context.now());
-    m_context.knows_all_targets = true;
+    m_context.has_all_targets = true;
     m_revision = m_list.revision;
     runtime::event("targets_read")
         .with("targets", m_list.targets.size())
@@ -252,11 +253,11 @@
 awaitable<bool> source_reader::watch()
 {
     const duration wait = decision::source_pace::watch_time(
-        m_context.settings.adoption_time, m_context.entries_answering,
-        m_context.random.fraction());
+        m_context.settings.max_configuration_delay,
+        m_context.responding_entries, m_context.random.fraction());
     m_watch_began = m_context.now();
     unsigned status = 0;
-    const auto body = co_await fetch(m_dialect.watch(m_revision, wait),
+    const auto body = co_await fetch(m_dialect.watch_request(m_revision, wait),
                                      wait + watch_slack, status);
     m_watch_began.reset();
     if (std::exchange(m_is_watch_aborted, false))
@@ -269,12 +270,12 @@
     }
     if (!body || status != ok)
         co_return false;
-    const source_page page = m_dialect.changes_page(*body);
+    const source_page page = m_dialect.parse_changes(*body);
     apply(page);
     m_revision = std::max(m_revision, page.revision);
     if (!page.changes.empty())
-        co_await sleep(
-            decision::source_pace::rest_time(m_context.settings.adoption_time));
+        co_await sleep(decision::source_pace::rest_time(
+            m_context.settings.max_configuration_delay));
     co_return true;
 }
 
@@ -288,7 +289,7 @@
 awaitable<void> source_reader::back_off()
 {
     co_await sleep(decision::source_pace::failure_pause(
-        m_context.settings.adoption_time, m_failures,
+        m_context.settings.max_configuration_delay, m_failures,
         m_context.random.fraction()));
 }
 
@@ -298,7 +299,8 @@
 void source_reader::end_long_watch()
 {
     const duration longest = decision::source_pace::longest_watch(
-        m_context.settings.adoption_time, m_context.entries_answering);
+        m_context.settings.max_configuration_delay,
+        m_context.responding_entries);
     // A watch whose answer is arriving no longer waits.
     if (!m_watch_began || m_is_watch_aborted ||
         m_current_call->received_bytes() > 0 ||
--- a/packages/serving/source_reader.hpp
+++ b/packages/serving/source_reader.hpp
@@ -20,14 +20,14 @@
 class source_reader
 {
 public:
-    source_reader(entry_context& context, const source_dialect& speech);
+    source_reader(entry_context& context, const source_dialect& dialect);
 
     /// Reads and watches the source. Never returns.
     awaitable<void> run();
 
     /// Puts the serialized catalog \a text in force if it is newer than the
     /// present one. \a from names its origin in the log.
-    void adopt(const std::string& text, std::string_view from);
+    void apply_catalog(const std::string& text, std::string_view from);
 
     /// Returns the serialized catalog in force, or null.
     std::shared_ptr<const std::string> catalog_text() const
@@ -41,7 +41,7 @@
 
     /// Returns whether the source is reachable and is sending an answer. Other
     /// components use it to decide whether to request a copy from an entry.
-    decision::catch_up::source_state state() const;
+    decision::catch_up::source_state source_state() const;
 
 private:
     awaitable<std::optional<std::string>>
--- a/packages/serving/source_reader_changes.cpp
+++ b/packages/serving/source_reader_changes.cpp
@@ -10,15 +10,15 @@
     const instant now = m_context.now();
     for (const source_change& change : page.changes)
     {
-        switch (change.what)
+        switch (change.kind)
         {
-        case source_change::kind::catalog:
-            adopt(change.catalog, "source");
+        case source_change::record_kind::catalog:
+            apply_catalog(change.catalog, "source");
             break;
-        case source_change::kind::zone:
-            take_zone_words(m_context, {{change.zone}, 0}, "source");
+        case source_change::record_kind::zone:
+            apply_zone_evacuations(m_context, {{change.zone}, 0}, "source");
             break;
-        case source_change::kind::target:
+        case source_change::record_kind::target:
             report_unknown_service(change);
             m_context.note_cold(change.target);
             if (m_context.directory.note(change.target))
@@ -30,7 +30,7 @@
                     .with("revision", change.target.revision)
                     .info();
             break;
-        case source_change::kind::target_removed:
+        case source_change::record_kind::target_removed:
             if (m_context.directory.note_removed(change.target.start.id,
                                                  change.revision, now))
                 runtime::event("target_removed")
@@ -38,10 +38,10 @@
                     .with("revision", change.revision)
                     .info();
             break;
-        case source_change::kind::target_unreadable:
+        case source_change::record_kind::target_unreadable:
             report_unreadable(change);
             break;
-        case source_change::kind::other:
+        case source_change::record_kind::other:
             break;
         }
     }
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -20,7 +20,7 @@
                            duration yields, instant due, instant expires)
     : m_context(context), m_route(route), m_facts(facts), m_content(content),
       m_zone(std::move(zone)), m_yields(yields), m_due(due), m_expires(expires),
-      m_changed(std::make_shared<signal_point>(context.loop)),
+      m_changed(std::make_shared<auto_reset_event>(context.loop)),
       m_states(route.stages.size())
 {
     for (std::size_t index = 0; index < m_states.size(); ++index)
@@ -32,7 +32,7 @@
 {
     if (m_states[index].now != step::waiting)
         return false;
-    const auto& after = m_route.stages[index].after;
+    const auto& after = m_route.stages[index].dependencies;
     const bool has_inputs = std::all_of(
         after.begin(), after.end(),
         [this](std::size_t one) { return m_states.at(one).now == step::done; });
@@ -55,7 +55,7 @@
     std::vector<std::size_t> longest;
     for (std::size_t next = index + 1; next < m_states.size(); ++next)
     {
-        const auto& needs = m_route.stages[next].after;
+        const auto& needs = m_route.stages[next].dependencies;
         if (m_states[next].pieces == 0 ||
             std::find(needs.begin(), needs.end(), index) == needs.end())
             continue;
@@ -78,7 +78,7 @@
 {
     for (std::size_t other = 0; other < m_states.size(); ++other)
     {
-        const auto& after = m_route.stages[other].after;
+        const auto& after = m_route.stages[other].dependencies;
         if (m_states[other].pieces > 0 &&
             std::find(after.begin(), after.end(), index) != after.end())
             return true;
@@ -89,7 +89,7 @@
 std::vector<std::string> stage_runner::inputs_of(std::size_t index) const
 {
     std::vector<std::string> inputs;
-    for (const std::size_t one : m_route.stages[index].after)
+    for (const std::size_t one : m_route.stages[index].dependencies)
     {
         const auto& handles = m_states.at(one).handles;
         inputs.insert(inputs.end(), handles.begin(), handles.end());
@@ -101,12 +101,12 @@
 // will run.
 std::string stage_runner::zone_of(const catalog::stage& stage) const
 {
-    for (const std::size_t one : stage.after)
+    for (const std::size_t one : stage.dependencies)
     {
         const auto& handles = m_states.at(one).handles;
         if (handles.empty())
             continue;
-        const std::string where = m_context.speech.maker_of(handles.front());
+        const std::string where = m_context.protocol.maker_of(handles.front());
         for (const auto* maker :
              m_context.directory.serving(m_route.stages[one].service))
             if (maker->address == where)
@@ -144,11 +144,11 @@
         if (one != index)
             job.downstream.push_back(
                 {m_route.stages[one].service, m_states[one].pieces});
-    if (stage.after.empty())
+    if (stage.dependencies.empty())
         job.key = m_facts.piece_key;
     else
         job.inputs = inputs_of(index);
-    for (const std::size_t one : stage.after)
+    for (const std::size_t one : stage.dependencies)
         job.input_bytes +=
             m_route.stages.at(one).result_bytes * m_states.at(one).pieces;
     m_context.pieces->make(stage.service, std::move(job), own.wait);
@@ -189,7 +189,7 @@
         bool is_needed = false;
         for (std::size_t other = 0; other < m_states.size(); ++other)
         {
-            const auto& after = m_route.stages[other].after;
+            const auto& after = m_route.stages[other].dependencies;
             is_needed =
                 is_needed ||
                 (m_states[other].now != step::done && !is_fetched(other) &&
@@ -251,7 +251,7 @@
 void stage_runner::abort()
 {
     m_is_aborted = true;
-    m_changed->raise();
+    m_changed->set();
 }
 
 std::vector<std::string> stage_runner::results() const
@@ -275,7 +275,7 @@
         const auto& makers = m_context.directory.serving(stage.service);
         for (const std::string& handle : m_states[index].handles)
         {
-            const std::string where = m_context.speech.maker_of(handle);
+            const std::string where = m_context.protocol.maker_of(handle);
             for (const auto* maker : makers)
                 if (maker->address == where)
                     bytes[maker->zone] += stage.result_bytes;
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -87,7 +87,7 @@
     duration m_yields;
     instant m_due;
     instant m_expires;
-    std::shared_ptr<signal_point> m_changed;
+    std::shared_ptr<auto_reset_event> m_changed;
     std::vector<state> m_states;
     bool m_is_aborted = false;
     bool m_is_late = false; ///< Its first stage was begun late.
--- a/packages/serving/zone_notices.cpp
+++ b/packages/serving/zone_notices.cpp
@@ -23,14 +23,15 @@
     for (const catalog::service& service : context.catalog->content().services)
         for (const auto* target : context.directory.serving(service.name))
             if (target->zone == zone)
-                context.cold.note_cold(target->start, service.warm_up.time,
-                                       context.now());
+                context.cold_targets.note_cold(
+                    target->start, service.warm_up.time, context.now());
 }
 
 } // namespace
 
-void take_zone_words(entry_context& context, const decision::zone_words& words,
-                     std::string_view from)
+void apply_zone_evacuations(entry_context& context,
+                            const decision::zone_words& words,
+                            std::string_view from)
 {
     const std::set<std::string> before = context.evacuations.evacuated();
     if (!context.evacuations.note_all(words))
--- a/packages/serving/zone_notices.hpp
+++ b/packages/serving/zone_notices.hpp
@@ -12,7 +12,8 @@
 /// Targets of evacuated zones get no requests from now on; targets of zones
 /// that return to service are treated as cold. \a from names the origin in the
 /// log.
-void take_zone_words(entry_context& context, const decision::zone_words& words,
-                     std::string_view from);
+void apply_zone_evacuations(entry_context& context,
+                            const decision::zone_words& words,
+                            std::string_view from);
 
 } // namespace mangofold::serving
--- a/tests/decision/call_planner_test.cpp
+++ b/tests/decision/call_planner_test.cpp
@@ -15,7 +15,7 @@
 
 /// One slot, ten pieces per call, 200 ms per call plus 10 ms per piece, and
 /// memory for thirty results of 1,000 bytes.
-catalog::call_shape shape()
+catalog::call_profile shape()
 {
     return {1, 2, 10, 200ms, 10ms, 31000, 4s};
 }
--- a/tests/platform/dialect_test.cpp
+++ b/tests/platform/dialect_test.cpp
@@ -65,16 +65,16 @@
     CHECK(first.is_resumable);
     CHECK_FALSE(first.is_repeatable);
     CHECK(first.timeout == 6s);
-    CHECK(first.aim == 1900ms);
+    CHECK(first.latency_objective == 1900ms);
     CHECK(first.patience == 7600ms);
     CHECK(read.routes[1].patience == 0ms);
     REQUIRE(first.stages.size() == 2);
-    CHECK(first.stages[1].after == std::vector<std::size_t>{0});
+    CHECK(first.stages[1].dependencies == std::vector<std::size_t>{0});
     CHECK(read.routes[1].is_repeatable);
     CHECK(read.routes[1].services.size() == 2);
     REQUIRE(read.services[1].calls);
-    CHECK(read.services[1].calls->per_piece == 11500us);
-    CHECK(read.services[1].calls->room_bytes == 36000000);
+    CHECK(read.services[1].calls->time_per_piece == 11500us);
+    CHECK(read.services[1].calls->result_memory_bytes == 36000000);
     CHECK(read.services[0].engine->slots == 96);
     CHECK(read.limits.header_bytes == 100);
     CHECK(read.checks_keys);
@@ -179,7 +179,7 @@
         "widmVyc2lvbiI6InYxIiwiY2FwYWNpdHkiOjYsInN0YXRlIjoiZHJhaW5pbmciLCJ3"
         "YXJtdXBfbGVmdF9tcyI6MCwic2VxdWVuY2UiOjEsImJvcm4iOjE3NzQ4MzUyMjgwMD"
         "B9";
-    const auto page = store.targets_page(
+    const auto page = store.parse_targets(
         R"({"items":[{"key":"servers/i-1","value":")" + value +
         R"(","rev":12}],"more_pages":true,"current_rev":30})");
     REQUIRE(page.changes.size() == 1);
@@ -191,34 +191,34 @@
     CHECK(page.changes[0].target.slots == 6);
     CHECK(page.changes[0].target.is_leaving);
     CHECK(page.changes[0].target.revision == 12);
-    const auto changes = store.changes_page(
+    const auto changes = store.parse_changes(
         R"({"events":[{"key":"servers/i-1","rev":31,"removed":true},)"
         R"({"key":"op/config","value":"e30=","rev":32},)"
         R"({"key":"other","value":"e30=","rev":33}],"current_rev":33})");
-    using kind = serving::source_change::kind;
+    using kind = serving::source_change::record_kind;
     REQUIRE(changes.changes.size() == 3);
-    CHECK(changes.changes[0].what == kind::target_removed);
-    CHECK(changes.changes[1].what == kind::catalog);
+    CHECK(changes.changes[0].kind == kind::target_removed);
+    CHECK(changes.changes[1].kind == kind::catalog);
     CHECK(changes.changes[1].catalog == "{}");
-    CHECK(changes.changes[2].what == kind::other);
-    CHECK_THROWS_AS(store.targets_page("<html>"), serving::facts_error);
+    CHECK(changes.changes[2].kind == kind::other);
+    CHECK_THROWS_AS(store.parse_targets("<html>"), serving::facts_error);
 }
 
 TEST_CASE("evacuated zones are read with the catalog, and as they change")
 {
     const platform::store_dialect store;
-    CHECK(store.read_declarations("op/config").target() ==
+    CHECK(store.declarations_request("op/config").target() ==
           "/api/kv-range?prefix=op/&after=op/config");
-    const auto page = store.declarations_page(
+    const auto page = store.parse_declarations(
         R"({"items":[{"key":"op/config","value":"e30=","rev":8},)"
         R"({"key":"op/evacuate/north-a","value":"e30=","rev":9}],)"
         R"("current_rev":11})");
-    using kind = serving::source_change::kind;
+    using kind = serving::source_change::record_kind;
     REQUIRE(page.changes.size() == 2);
-    CHECK(page.changes[0].what == kind::catalog);
-    CHECK(page.changes[1].what == kind::zone);
+    CHECK(page.changes[0].kind == kind::catalog);
+    CHECK(page.changes[1].kind == kind::zone);
     CHECK(page.changes[1].zone == decision::zone_word{"north-a", 9, true});
-    const auto changes = store.changes_page(
+    const auto changes = store.parse_changes(
         R"({"events":[{"key":"op/evacuate/north-a","rev":12,"removed":true},)"
         R"({"key":"op/evacuate/north-b","value":"bm8=","rev":13}],)"
         R"("current_rev":13})");
@@ -243,7 +243,7 @@
           "[platform]\naddress = \"10.0.0.2:4\"\n[bounds]\ngrace_s = 8\n"
           "budget_ratio = 0.2\nnew_one = true\n");
     const auto read = platform::read_settings(path);
-    CHECK(read.callers.text() == "10.0.0.1:1");
+    CHECK(read.caller_address.text() == "10.0.0.1:1");
     CHECK(read.grace == 8s);
     CHECK(read.retry_share == 0.2);
     CHECK(read.seeds.size() == 1);
--- a/tests/platform/outside_bytes_test.cpp
+++ b/tests/platform/outside_bytes_test.cpp
@@ -255,10 +255,10 @@
         [&](const std::vector<char>& bytes)
         {
             const std::string text = text_of(bytes);
-            RC_ASSERT(is_read_or_refused([&] { store.targets_page(text); }));
-            RC_ASSERT(is_read_or_refused([&] { store.changes_page(text); }));
+            RC_ASSERT(is_read_or_refused([&] { store.parse_targets(text); }));
+            RC_ASSERT(is_read_or_refused([&] { store.parse_changes(text); }));
             RC_ASSERT(
-                is_read_or_refused([&] { store.declarations_page(text); }));
+                is_read_or_refused([&] { store.parse_declarations(text); }));
             RC_ASSERT(is_read_or_refused([&] { store.parse_catalog(text); }));
         }));
     for (const char* text :
@@ -271,9 +271,9 @@
           R"({"version":"1","routes":[],"backends":[]})"})
     {
         CAPTURE(text);
-        CHECK(is_read_or_refused([&] { store.targets_page(text); }));
-        CHECK(is_read_or_refused([&] { store.changes_page(text); }));
-        CHECK(is_read_or_refused([&] { store.declarations_page(text); }));
+        CHECK(is_read_or_refused([&] { store.parse_targets(text); }));
+        CHECK(is_read_or_refused([&] { store.parse_changes(text); }));
+        CHECK(is_read_or_refused([&] { store.parse_declarations(text); }));
         CHECK(is_read_or_refused([&] { store.parse_catalog(text); }));
     }
 }
@@ -289,7 +289,7 @@
                 return;
             decision::target_directory directory;
             serving::take_targets(frame.targets(), directory);
-            serving::catalog_collector().add(frame.catalog_part());
+            serving::catalog_assembler().add(frame.catalog_part());
             serving::outcome_of(frame.job_end());
             serving::job_of(frame.job(), decision::instant{});
         }));
--- a/tests/platform/target_entry_test.cpp
+++ b/tests/platform/target_entry_test.cpp
@@ -8,8 +8,8 @@
 
 using namespace mangofold;
 using nlohmann::json;
-using serving::entry_fault;
-using kind = serving::source_change::kind;
+using serving::record_fault;
+using kind = serving::source_change::record_kind;
 
 namespace
 {
@@ -44,26 +44,26 @@
                      {item("i-1", good().dump()), item(id, text),
                       item("i-3", good().dump())}},
                     {"current_rev", 9}};
-    return platform::store_dialect().targets_page(page.dump()).changes;
+    return platform::store_dialect().parse_targets(page.dump()).changes;
 }
 
-entry_fault fault_of(const std::string& text, const std::string& id = "i-2")
+record_fault fault_of(const std::string& text, const std::string& id = "i-2")
 {
     const auto changes = page_with(text, id);
     REQUIRE(changes.size() == 3);
     // Whatever stands beside it holds.
-    CHECK(changes[0].what == kind::target);
-    CHECK(changes[2].what == kind::target);
+    CHECK(changes[0].kind == kind::target);
+    CHECK(changes[2].kind == kind::target);
     CHECK(changes[2].target.address == "10.0.0.1:80");
-    if (changes[1].what == kind::target)
-        return entry_fault::none;
-    CHECK(changes[1].what == kind::target_unreadable);
+    if (changes[1].kind == kind::target)
+        return record_fault::none;
+    CHECK(changes[1].kind == kind::target_unreadable);
     CHECK(changes[1].target.start.id == id);
     CHECK(changes[1].revision == 7);
     return changes[1].fault;
 }
 
-entry_fault fault_with(const char* name, const json& value)
+record_fault fault_with(const char* name, const json& value)
 {
     json entry = good();
     entry[name] = value;
@@ -77,31 +77,31 @@
 // target. 3. The whole page was thrown away with it, again and again.
 TEST_CASE("an entry that names no target leaves all others as they are")
 {
-    CHECK(fault_of(good().dump()) == entry_fault::none);
-    CHECK(fault_of("") == entry_fault::bytes);
-    CHECK(fault_of("\xff\xfe{") == entry_fault::bytes);
-    CHECK(fault_of("[1,2]") == entry_fault::bytes);
-    CHECK(fault_of(good().dump().substr(0, 60)) == entry_fault::bytes);
-    CHECK(fault_with("state", "sleeping") == entry_fault::state);
-    CHECK(fault_with("address", "somewhere") == entry_fault::address);
-    CHECK(fault_with("address", "10.0.0.1:99999") == entry_fault::address);
+    CHECK(fault_of(good().dump()) == record_fault::none);
+    CHECK(fault_of("") == record_fault::bytes);
+    CHECK(fault_of("\xff\xfe{") == record_fault::bytes);
+    CHECK(fault_of("[1,2]") == record_fault::bytes);
+    CHECK(fault_of(good().dump().substr(0, 60)) == record_fault::bytes);
+    CHECK(fault_with("state", "sleeping") == record_fault::state);
+    CHECK(fault_with("address", "somewhere") == record_fault::address);
+    CHECK(fault_with("address", "10.0.0.1:99999") == record_fault::address);
     for (const char* name : {"backend", "address", "zone", "version",
                              "capacity", "state", "sequence", "warmup_left_ms"})
     {
         CAPTURE(name);
         json entry = good();
         entry.erase(name);
-        CHECK(fault_of(entry.dump()) == entry_fault::fields);
-        CHECK(fault_with(name, nullptr) == entry_fault::fields);
-        CHECK(fault_with(name, json::array()) == entry_fault::fields);
+        CHECK(fault_of(entry.dump()) == record_fault::fields);
+        CHECK(fault_with(name, nullptr) == record_fault::fields);
+        CHECK(fault_with(name, json::array()) == record_fault::fields);
     }
     for (const json& value : {json("12"), json(-3), json(1.5)})
     {
-        CHECK(fault_with("born", value) == entry_fault::fields);
-        CHECK(fault_with("capacity", value) == entry_fault::fields);
+        CHECK(fault_with("born", value) == record_fault::fields);
+        CHECK(fault_with("capacity", value) == record_fault::fields);
     }
-    CHECK(fault_with("capacity", 0) == entry_fault::fields);
-    CHECK(fault_with("capacity", 1ULL << 40U) == entry_fault::fields);
+    CHECK(fault_with("capacity", 0) == record_fault::fields);
+    CHECK(fault_with("capacity", 1ULL << 40U) == record_fault::fields);
 }
 
 TEST_CASE("an entry without the time of its start is one of a target")
@@ -109,15 +109,15 @@
     json entry = good();
     entry.erase("born");
     entry["new_field"] = "any";
-    CHECK(fault_of(entry.dump()) == entry_fault::none);
+    CHECK(fault_of(entry.dump()) == record_fault::none);
 }
 
 // A target sees a header that no caller sent.
 TEST_CASE("an id that could end a header's line names no target")
 {
-    CHECK(fault_of(good().dump(), "i-2\r\nX: y") == entry_fault::fields);
-    CHECK(fault_of(good().dump(), "i 2") == entry_fault::fields);
-    CHECK(fault_of(good().dump(), "") == entry_fault::fields);
+    CHECK(fault_of(good().dump(), "i-2\r\nX: y") == record_fault::fields);
+    CHECK(fault_of(good().dump(), "i 2") == record_fault::fields);
+    CHECK(fault_of(good().dump(), "") == record_fault::fields);
 }
 
 TEST_CASE("a value that is no text names no target")
@@ -127,11 +127,11 @@
     const json page{{"events", {bad, item("i-3", good().dump())}},
                     {"current_rev", 9}};
     const auto changes =
-        platform::store_dialect().changes_page(page.dump()).changes;
+        platform::store_dialect().parse_changes(page.dump()).changes;
     REQUIRE(changes.size() == 2);
-    CHECK(changes[0].what == kind::target_unreadable);
-    CHECK(changes[0].fault == entry_fault::bytes);
-    CHECK(changes[1].what == kind::target);
+    CHECK(changes[0].kind == kind::target_unreadable);
+    CHECK(changes[0].fault == record_fault::bytes);
+    CHECK(changes[1].kind == kind::target);
 }
 
 TEST_CASE("whatever bytes an entry holds, the page is read")
@@ -142,8 +142,8 @@
             const auto changes =
                 page_with(std::string(bytes.begin(), bytes.end()));
             RC_ASSERT(changes.size() == 3U);
-            RC_ASSERT(changes[1].what == kind::target_unreadable);
-            RC_ASSERT(changes[2].what == kind::target);
+            RC_ASSERT(changes[1].kind == kind::target_unreadable);
+            RC_ASSERT(changes[2].kind == kind::target);
         }));
     // The same with one byte of a good entry changed.
     CHECK(rc::check(
@@ -153,6 +153,6 @@
             text[at % text.size()] = byte;
             const auto changes = page_with(text);
             RC_ASSERT(changes.size() == 3U);
-            RC_ASSERT(changes[2].what == kind::target);
+            RC_ASSERT(changes[2].kind == kind::target);
         }));
 }
--- a/tests/serving/exchange_test.cpp
+++ b/tests/serving/exchange_test.cpp
@@ -88,7 +88,7 @@
     serving_fixture entry;
     entry.add_target("plain", good);
     const auto known = std::exchange(entry.context->catalog, nullptr);
-    entry.context->requests_wait_until = entry.time.now() + 500ms;
+    entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
     entry.settle();
@@ -107,8 +107,8 @@
     "a request of a process that starts waits for a target of its service")
 {
     serving_fixture entry;
-    entry.context->knows_all_targets = false;
-    entry.context->requests_wait_until = entry.time.now() + 500ms;
+    entry.context->has_all_targets = false;
+    entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
     entry.settle();
@@ -126,7 +126,7 @@
 {
     serving_fixture entry;
     entry.context->catalog = nullptr;
-    entry.context->requests_wait_until = entry.time.now() + 500ms;
+    entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto early = entry.connect();
     entry.send(*early, request("/once/", "r1"));
     entry.settle();
--- a/tests/serving/frame_socket_test.cpp
+++ b/tests/serving/frame_socket_test.cpp
@@ -48,7 +48,7 @@
     asio::io_context loop{1};
     frame_socket_ptr near;
     frame_socket_ptr other;
-    catalog_collector collector;
+    catalog_assembler collector;
     std::optional<std::string> catalog;
     std::size_t parts = 0;
     std::size_t pong_after = 0;
@@ -80,7 +80,7 @@
 {
     joined both;
     const auto text = text_of(8 << 20);
-    both.near->send_in_parts(catalog_parts(text));
+    both.near->send_in_parts(catalog_part_source(text));
     both.run([&] { return both.parts > 0; });
     peer::Frame pong;
     pong.mutable_pong();
@@ -95,21 +95,21 @@
 TEST_CASE("parts that are not wanted any more stop")
 {
     joined both;
-    both.near->send_in_parts(catalog_parts(text_of(8 << 20)));
+    both.near->send_in_parts(catalog_part_source(text_of(8 << 20)));
     both.run([&] { return both.parts > 0; });
     both.near->drop_parts();
     const std::size_t before = both.parts;
     both.loop.run_for(200ms);
     CHECK_FALSE(both.catalog);
     CHECK(both.parts < before + 200);
-    both.near->send_in_parts(catalog_parts(text_of(100000)));
+    both.near->send_in_parts(catalog_part_source(text_of(100000)));
     both.run([&] { return both.catalog.has_value(); });
     CHECK(both.catalog);
 }
 
 TEST_CASE("parts that do not follow each other make no catalog")
 {
-    catalog_collector collector;
+    catalog_assembler collector;
     CHECK_FALSE(collector.add(part(6, 0, "abc")));
     CHECK_FALSE(collector.add(part(6, 4, "ef")));
     CHECK_FALSE(collector.add(part(6, 3, "def")));
--- a/tests/serving/listed_pages_test.cpp
+++ b/tests/serving/listed_pages_test.cpp
@@ -1,8 +1,8 @@
 #include "serving/request_server.hpp"
 #include "serving/source_reader.hpp"
 #include "support/accept_all.hpp"
-#include "support/plain_source.hpp"
 #include "support/serving_fixture.hpp"
+#include "support/stub_source.hpp"
 
 #include <doctest/doctest.h>
 
@@ -19,16 +19,16 @@
 
 /// A source whose target list has one target on each page. The target's id
 /// contains the page number.
-class paged_dialect : public test::plain_source
+class paged_dialect : public test::stub_source
 {
 public:
-    http_request read_targets(const std::string& after) const override
+    http_request targets_request(const std::string& after) const override
     {
         return {http::verb::get, "/targets/" + (after.empty() ? "0" : after),
                 11};
     }
 
-    source_page targets_page(std::string_view body) const override
+    source_page parse_targets(std::string_view body) const override
     {
         const int number = std::stoi(std::string(body));
         source_page page;
@@ -36,7 +36,7 @@
         page.last_key = std::to_string(number + 1);
         page.has_more = number + 1 < page_count;
         source_change change;
-        change.what = source_change::kind::target;
+        change.kind = source_change::record_kind::target;
         change.target = {"t" + std::to_string(number),
                          "plain",
                          "127.0.0.1:1",
@@ -106,11 +106,11 @@
 {
     starting_entry() : source(loop), reader(*context, dialect)
     {
-        context->settings.source = {"127.0.0.1",
-                                    source.acceptor.local_endpoint().port()};
-        context->settings.adoption_time = 3s;
+        context->settings.source_address = {
+            "127.0.0.1", source.acceptor.local_endpoint().port()};
+        context->settings.max_configuration_delay = 3s;
         context->catalog = nullptr;
-        context->knows_targets = false;
+        context->has_some_targets = false;
         context->directory = {};
     }
 
@@ -150,8 +150,8 @@
     entry.advance_until([&]
                         { return entry.source.requests_by_page["1"] >= 2; });
     CHECK(entry.known_targets() == 1);
-    CHECK(entry.context->knows_targets);
-    CHECK_FALSE(entry.context->knows_all_targets);
+    CHECK(entry.context->has_some_targets);
+    CHECK_FALSE(entry.context->has_all_targets);
     REQUIRE(entry.context->catalog);
     CHECK(entry.context->catalog->version() == 7);
 }
@@ -166,7 +166,7 @@
     entry.advance_until([&]
                         { return entry.source.requests_by_page["1"] >= 3; });
     entry.source.rejected_pages.clear();
-    entry.advance_until([&] { return entry.context->knows_all_targets; });
+    entry.advance_until([&] { return entry.context->has_all_targets; });
     CHECK(entry.known_targets() == page_count);
     CHECK(entry.source.requests_by_page["0"] == 1);
     CHECK(entry.source.requests_by_page["2"] == 1);
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -54,8 +54,8 @@
         run_until([&] { return link->is_alive(); });
         decision::stage_job job;
         job.request = "r1";
-        wait =
-            std::make_shared<piece_wait>(std::make_shared<signal_point>(loop));
+        wait = std::make_shared<piece_wait>(
+            std::make_shared<auto_reset_event>(loop));
         link->ask("rerank", job, wait);
         run_until([&] { return other.asked.size() == 1; });
     }
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -1,8 +1,8 @@
 #include "serving/peer_mesh.hpp"
 #include "serving/peer_messages.hpp"
-#include "support/plain_source.hpp"
 #include "support/played_entry.hpp"
 #include "support/serving_fixture.hpp"
+#include "support/stub_source.hpp"
 
 #include <doctest/doctest.h>
 
@@ -21,7 +21,7 @@
     behind_fixture()
         : source(*context, speaks), mesh(*context, source, *gathering)
     {
-        context->settings.adoption_time = 3s;
+        context->settings.max_configuration_delay = 3s;
         for (auto& one : others)
         {
             one = std::make_unique<test::played_entry>(loop);
@@ -49,7 +49,7 @@
                                { return sum + one->catalogs_asked; });
     }
 
-    test::plain_source speaks;
+    test::stub_source speaks;
     source_reader source;
     peer_mesh mesh;
     std::array<std::unique_ptr<test::played_entry>, 4> others;
--- a/tests/serving/peer_server_test.cpp
+++ b/tests/serving/peer_server_test.cpp
@@ -17,7 +17,7 @@
 {
     giving_entry() : text(std::make_shared<const std::string>(64U << 20U, 'x'))
     {
-        context->settings.peers = {"127.0.0.1", free_port()};
+        context->settings.peer_address = {"127.0.0.1", free_port()};
         server.emplace(
             *context, *gathering, [](const std::string&) {},
             [](std::size_t) { return peer::Holding(); },
@@ -37,8 +37,8 @@
     frame_socket_ptr connect()
     {
         tcp::socket socket(loop);
-        socket.connect(
-            {asio::ip::address_v4::loopback(), context->settings.peers.port});
+        socket.connect({asio::ip::address_v4::loopback(),
+                        context->settings.peer_address.port});
         return std::make_shared<frame_socket>(std::move(socket));
     }
 
--- a/tests/serving/settings_keeper_test.cpp
+++ b/tests/serving/settings_reloader_test.cpp
@@ -1,4 +1,4 @@
-#include "serving/settings_keeper.hpp"
+#include "serving/settings_reloader.hpp"
 #include "support/serving_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -29,7 +29,7 @@
 
     node_settings written;
     bool is_unreadable = false;
-    settings_keeper keeper;
+    settings_reloader keeper;
 };
 
 } // namespace
@@ -64,13 +64,13 @@
     settings_fixture entry;
     entry.written.grace = 5s;
     entry.is_unreadable = true;
-    using outcome = settings_keeper::outcome;
-    CHECK(entry.keeper.read_again("signal") == outcome::refused);
+    using outcome = settings_reloader::outcome;
+    CHECK(entry.keeper.reload("signal") == outcome::rejected);
     CHECK(entry.context->settings.grace == 0s);
     entry.is_unreadable = false;
-    CHECK(entry.keeper.read_again("signal") == outcome::taken);
+    CHECK(entry.keeper.reload("signal") == outcome::applied);
     CHECK(entry.context->settings.grace == 5s);
-    CHECK(entry.keeper.read_again("signal") == outcome::same);
+    CHECK(entry.keeper.reload("signal") == outcome::unchanged);
 }
 
 // Callers are connected to the present addresses, so a changed address takes
@@ -78,9 +78,9 @@
 TEST_CASE("a running process keeps its addresses when its settings change")
 {
     settings_fixture entry;
-    entry.written.callers = {"127.0.0.1", 9};
-    entry.written.adoption_time = 3s;
-    entry.keeper.read_again("signal");
-    CHECK(entry.context->settings.callers.port == 0);
-    CHECK(entry.context->settings.adoption_time == 3s);
+    entry.written.caller_address = {"127.0.0.1", 9};
+    entry.written.max_configuration_delay = 3s;
+    entry.keeper.reload("signal");
+    CHECK(entry.context->settings.caller_address.port == 0);
+    CHECK(entry.context->settings.max_configuration_delay == 3s);
 }
--- a/tests/serving/source_reader_test.cpp
+++ b/tests/serving/source_reader_test.cpp
@@ -1,8 +1,8 @@
 #include "serving/request_server.hpp"
 #include "serving/source_reader.hpp"
 #include "support/accept_all.hpp"
-#include "support/plain_source.hpp"
 #include "support/serving_fixture.hpp"
+#include "support/stub_source.hpp"
 
 #include <doctest/doctest.h>
 
@@ -84,9 +84,9 @@
     starting_entry(std::size_t bytes, duration pause)
         : source(loop, bytes, pause), reader(*context, dialect)
     {
-        context->settings.source = {"127.0.0.1",
-                                    source.acceptor.local_endpoint().port()};
-        context->settings.adoption_time = 3s;
+        context->settings.source_address = {
+            "127.0.0.1", source.acceptor.local_endpoint().port()};
+        context->settings.max_configuration_delay = 3s;
         context->catalog = nullptr;
         start(loop, reader.run());
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    test::plain_source dialect;
+    test::stub_source dialect;
     slow_source source;
     source_reader reader;
 };
@@ -148,7 +148,7 @@
 TEST_CASE("an entry that loses the other entries ends a long watch")
 {
     starting_entry entry(100, 1ms);
-    entry.context->entries_answering = 68;
+    entry.context->responding_entries = 68;
     entry.advance(1s);
     REQUIRE(entry.context->catalog);
     entry.run_until([&] { return entry.source.watch_requests == 1; });
@@ -156,7 +156,7 @@
     entry.reader.end_long_watch();
     entry.settle();
     CHECK(entry.source.watch_requests == 1);
-    entry.context->entries_answering = 1;
+    entry.context->responding_entries = 1;
     entry.reader.end_long_watch();
     entry.run_until([&] { return entry.source.watch_requests == 2; });
 }
--- a/tests/serving/stream_test.cpp
+++ b/tests/serving/stream_test.cpp
@@ -285,9 +285,9 @@
 TEST_CASE("stages end early enough for the whole stream")
 {
     serving_fixture entry;
-    auto& times = entry.context->routes["staged"];
+    auto& times = entry.context->times_by_route["staged"];
     for (int one = 0; one < 300; ++one)
-        times.per_token.add(2s);
+        times.time_per_token.add(2s);
     const auto caller = entry.connect();
     entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
     entry.run_until([&] { return entry.jobs.size() == 1; });
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -24,7 +24,7 @@
     words.whole_at = revision;
     for (std::string& zone : zones)
         words.words.push_back({std::move(zone), revision, true});
-    serving::take_zone_words(*entry.context, words, "source");
+    serving::apply_zone_evacuations(*entry.context, words, "source");
 }
 
 } // namespace
@@ -146,7 +146,8 @@
     evacuate(other, {"a"}, 5);
     peer::Holding message;
     serving::write_zones(other.context->evacuations.known(), message);
-    serving::take_zone_words(*entry.context, serving::zones_of(message), "e");
+    serving::apply_zone_evacuations(*entry.context, serving::zones_of(message),
+                                    "e");
     CHECK(entry.context->evacuations == other.context->evacuations);
     auto& target = entry.add_target("plain", good, "a");
     entry.ask(request("/once/", "r1"), "evacuated");
@@ -161,8 +162,8 @@
     entry.add_target("events", good, "a");
     entry.add_target("plain", good, "a");
     evacuate(entry, {"a"}, 5);
-    serving::take_zone_words(*entry.context, {{}, 9}, "source");
-    const decision::cold_targets& cold = entry.context->cold;
+    serving::apply_zone_evacuations(*entry.context, {{}, 9}, "source");
+    const decision::cold_targets& cold = entry.context->cold_targets;
     CHECK(cold.is_cold("t1", entry.time.now() + 2s));
     CHECK_FALSE(cold.is_cold("t1", entry.time.now() + 3s));
     CHECK_FALSE(cold.is_cold("t2", entry.time.now()));
@@ -174,9 +175,9 @@
 {
     serving_fixture entry;
     auto& target = entry.add_target("events", no_answer, "a");
-    entry.context->entries_known = 12; // One request a second from each.
-    entry.context->cold.note_cold("t1", 10s, entry.time.now());
-    entry.context->cold.note_sent("t1", {3s, 16}, 12, entry.time.now());
+    entry.context->peak_entries = 12; // One request a second from each.
+    entry.context->cold_targets.note_cold("t1", 10s, entry.time.now());
+    entry.context->cold_targets.note_sent("t1", {3s, 16}, 12, entry.time.now());
     const auto patient = entry.connect();
     entry.send(*patient, request("/events/", "r1", "Budget: 3000\r\n"));
     entry.settle();
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -51,7 +51,7 @@
      ["stop"]),
     ("the key is passed on", "platform/request_dialect.cpp",
      "fields.erase(http::field::authorization);", "", ["publish"]),
-    ("a hangup has no handler", "packages/serving/settings_keeper.cpp",
+    ("a hangup has no handler", "packages/serving/settings_reloader.cpp",
      "m_hangup(context.loop, SIGHUP)", "m_hangup(context.loop)", ["hangup"]),
     ("a stage gets one of its inputs only", "packages/serving/stage_runner.cpp",
      "        const auto& handles = m_states.at(one).handles;\n"
@@ -67,7 +67,7 @@
      "    m_has_left = true;", "    return;", ["target_mode"]),
     ("every word of a newer catalog asks for a copy",
      "packages/serving/peer_mesh.cpp",
-     "    if (!lacking.asks(address, m_source.state(), m_context.now()))\n"
+     "    if (!lacking.asks(address, m_source.source_state(), m_context.now()))\n"
      "        return false;\n"
      "    if (!before.empty() && before != address)\n"
      "        drop_copy(before);\n",
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -20,7 +20,7 @@
     one.host = "h";
     one.prefix = "/" + name + "/";
     one.timeout = 5s;
-    one.aim = 1s;
+    one.latency_objective = 1s;
     one.services = {{service, 1}};
     return one;
 }
@@ -52,10 +52,10 @@
         route("once", "plain"), again, events, once_events, staged, beside};
     made.services = {
         {"plain", 10, {}, {}},
-        {"events", 10, {}, catalog::engine_shape{4, 1000}, {3s, 16}},
+        {"events", 10, {}, catalog::engine_capacity{4, 1000}, {3s, 16}},
         {"pieces",
          10,
-         catalog::call_shape{1, 1, 8, 200ms, 10ms, 1000, 4s, 1e9},
+         catalog::call_profile{1, 1, 8, 200ms, 10ms, 1000, 4s, 1e9},
          {}}};
     return made;
 }
@@ -67,12 +67,12 @@
     loop_clock::set_source(time, true);
     node_settings settings;
     settings.zone = "a";
-    settings.callers = {"127.0.0.1", 0};
+    settings.caller_address = {"127.0.0.1", 0};
     settings.retry_reserve = 100;
     settings.retry_share = 0.2;
     context = std::make_unique<entry_context>(loop, time, speech, settings, 7);
     context->catalog = std::make_shared<catalog::catalog_index>(document());
-    context->knows_targets = true;
+    context->has_some_targets = true;
     context->evacuations.note_all({{}, 1});
     context->directory.set_source(true, time.now());
     context->pieces = this;
@@ -87,8 +87,8 @@
 {
     for (;;)
     {
-        context->lateness.note_timer_run(context->now());
-        loop_timer timer(loop, turn_interval);
+        context->loop_lag.note_timer_run(context->now());
+        loop_timer timer(loop, loop_probe_interval);
         error_code ignored; // Nobody cancels it.
         co_await timer.async_wait(into(ignored));
     }
--- a/tests/support/plain_source.hpp
+++ b/tests/support/stub_source.hpp
@@ -9,42 +9,45 @@
 
 /// A source whose serialized catalog is just its version number, which tests
 /// pad with leading zeros to set its size.
-class plain_source : public serving::source_dialect
+class stub_source : public serving::source_dialect
 {
 public:
-    serving::http_request read_declarations(const std::string&) const override
+    serving::http_request
+    declarations_request(const std::string&) const override
     {
         return get("/catalog");
     }
 
-    serving::source_page declarations_page(std::string_view body) const override
+    serving::source_page
+    parse_declarations(std::string_view body) const override
     {
-        return changes_page(body);
+        return parse_changes(body);
     }
 
-    serving::http_request read_targets(const std::string&) const override
+    serving::http_request targets_request(const std::string&) const override
     {
         return get("/targets");
     }
 
-    serving::source_page targets_page(std::string_view) const override
+    serving::source_page parse_targets(std::string_view) const override
     {
         serving::source_page page;
         page.revision = 1;
         return page;
     }
 
-    serving::http_request watch(std::uint64_t, serving::duration) const override
+    serving::http_request watch_request(std::uint64_t,
+                                        serving::duration) const override
     {
         return get("/watch");
     }
 
-    serving::source_page changes_page(std::string_view body) const override
+    serving::source_page parse_changes(std::string_view body) const override
     {
         serving::source_page page;
         page.revision = 2;
         serving::source_change change;
-        change.what = serving::source_change::kind::catalog;
+        change.kind = serving::source_change::record_kind::catalog;
         change.catalog = std::string(body);
         page.changes.push_back(std::move(change));
         return page;
