--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -71,11 +71,12 @@
     /// Returns the retry budget of \a service.
     decision::retry_budget& retry_budget_for(const std::string& service);
 
-    /// Increments the counter \a name with the label \a of set to \a value.
-    void count(const std::string& name, const std::string& of,
+    /// Increments the counter \a name with the label \a label_name set to
+    /// \a value.
+    void count(const std::string& name, const std::string& label_name,
                std::string_view value)
     {
-        ++metrics.count({name, runtime::label(of, value)});
+        ++metrics.count({name, runtime::label(label_name, value)});
     }
 
     asio::io_context& loop;
@@ -87,8 +88,8 @@
     decision::target_directory directory;
     decision::zone_evacuations evacuations;
     decision::cold_targets cold_targets;
-    bool has_some_targets = false; ///< Part of the list was received
-                                   ///< from the source or an entry.
+    bool has_some_targets = false; ///< Part of the list was received from
+                                   ///< the source or another entry.
     bool has_all_targets = false;  ///< The whole list was read at least
                                    ///< once.
     /// End of the time after the start in which requests wait for data that
@@ -134,6 +135,7 @@
     {
         return std::max<std::size_t>(peak_entries, settings.seeds.size());
     }
+
     /// How late the event loop runs. Its owner records the runs of a periodic
     /// timer.
     decision::loop_lag loop_lag{loop_probe_interval};
--- a/packages/serving/settings_reloader.cpp
+++ b/packages/serving/settings_reloader.cpp
@@ -41,7 +41,7 @@
 // The file can be read while it is being written, or contain a mistake. If the
 // process exited or lost its settings then, its callers would be disconnected.
 // The previous settings stay in force until a valid file can be read.
-settings_reloader::outcome settings_reloader::reload(std::string_view why)
+settings_reloader::outcome settings_reloader::reload(std::string_view trigger)
 {
     node_settings read;
     try
@@ -52,7 +52,7 @@
     {
         if (m_fault != fault.what())
             runtime::event("settings_refused")
-                .with("why", why)
+                .with("why", trigger)
                 .with("fault", fault.what())
                 .error();
         m_fault = fault.what();
@@ -79,7 +79,7 @@
         m_context.retry_budgets.clear();
     m_context.settings = std::move(read);
     runtime::event("settings_taken")
-        .with("why", why)
+        .with("why", trigger)
         .with("seeds", m_context.settings.seeds.size())
         .info();
     return outcome::applied;
--- a/packages/serving/settings_reloader.hpp
+++ b/packages/serving/settings_reloader.hpp
@@ -33,7 +33,8 @@
     };
 
     /// Reads the settings and applies the changes that need no restart.
-    outcome reload(std::string_view why);
+    /// \a trigger names the reason for the read in the log.
+    outcome reload(std::string_view trigger);
 
 private:
     entry_context& m_context;
--- a/tests/serving/listed_pages_test.cpp
+++ b/tests/serving/listed_pages_test.cpp
@@ -53,8 +53,8 @@
 /// for some pages.
 struct paged_source
 {
-    explicit paged_source(asio::io_context& its_loop)
-        : loop(its_loop), acceptor(its_loop)
+    explicit paged_source(asio::io_context& event_loop)
+        : loop(event_loop), acceptor(event_loop)
     {
         listen_at(acceptor, {"127.0.0.1", 0});
         start(loop, test::accept_all(loop, acceptor,
--- a/tests/serving/settings_reloader_test.cpp
+++ b/tests/serving/settings_reloader_test.cpp
@@ -16,7 +16,7 @@
 {
     settings_fixture()
         : written(context->settings),
-          keeper(*context, [this] { return read(); })
+          reloader(*context, [this] { return read(); })
     {
     }
 
@@ -29,7 +29,7 @@
 
     node_settings written;
     bool is_unreadable = false;
-    settings_reloader keeper;
+    settings_reloader reloader;
 };
 
 } // namespace
@@ -39,7 +39,7 @@
 TEST_CASE("SIGHUP makes a running process apply changed settings")
 {
     settings_fixture entry;
-    start(entry.loop, entry.keeper.run());
+    start(entry.loop, entry.reloader.run());
     entry.settle();
     entry.written.seeds = {{"127.0.0.1", 7}};
     std::raise(SIGHUP);
@@ -50,7 +50,7 @@
 TEST_CASE("settings changed without a signal are applied")
 {
     settings_fixture entry;
-    start(entry.loop, entry.keeper.run());
+    start(entry.loop, entry.reloader.run());
     entry.settle();
     entry.written.grace = 5s;
     entry.time.advance(2s);
@@ -65,12 +65,12 @@
     entry.written.grace = 5s;
     entry.is_unreadable = true;
     using outcome = settings_reloader::outcome;
-    CHECK(entry.keeper.reload("signal") == outcome::rejected);
+    CHECK(entry.reloader.reload("signal") == outcome::rejected);
     CHECK(entry.context->settings.grace == 0s);
     entry.is_unreadable = false;
-    CHECK(entry.keeper.reload("signal") == outcome::applied);
+    CHECK(entry.reloader.reload("signal") == outcome::applied);
     CHECK(entry.context->settings.grace == 5s);
-    CHECK(entry.keeper.reload("signal") == outcome::unchanged);
+    CHECK(entry.reloader.reload("signal") == outcome::unchanged);
 }
 
 // Callers are connected to the present addresses, so a changed address takes
@@ -80,7 +80,7 @@
     settings_fixture entry;
     entry.written.caller_address = {"127.0.0.1", 9};
     entry.written.max_configuration_delay = 3s;
-    entry.keeper.reload("signal");
+    entry.reloader.reload("signal");
     CHECK(entry.context->settings.caller_address.port == 0);
     CHECK(entry.context->settings.max_configuration_delay == 3s);
 }
--- a/tests/serving/source_reader_test.cpp
+++ b/tests/serving/source_reader_test.cpp
@@ -17,9 +17,9 @@
 /// as over a slow link.
 struct slow_source
 {
-    slow_source(asio::io_context& its_loop, std::size_t bytes,
-                duration its_pause)
-        : loop(its_loop), pause(its_pause), acceptor(its_loop),
+    slow_source(asio::io_context& event_loop, std::size_t bytes,
+                duration part_pause)
+        : loop(event_loop), pause(part_pause), acceptor(event_loop),
           catalog(std::string(bytes - 1, '0') + "7")
     {
         listen_at(acceptor, {"127.0.0.1", 0});
