--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -130,7 +130,7 @@
         std::any_of(m_facts.pieces.begin(), m_facts.pieces.end(),
                     [](std::uint32_t count) { return count > 0; }) &&
         !m_route->stages.empty();
-    m_context.retries_of(m_service).note_first_attempt();
+    m_context.retry_budget_for(m_service).note_first_attempt();
     constexpr int max_rounds = 6;
     for (int round = 0; round < max_rounds; ++round)
     {
@@ -184,8 +184,8 @@
     m_sends->note_sent();
     if (m_verdict.outcome != decision::quarantine::admission::unrestricted)
         m_context.quarantine.note_sent(content_digest(), target);
-    m_context.cold.note_sent(target, m_context.warm_up_of(m_service),
-                             m_context.entries_sharing(), m_context.now());
+    m_context.cold_targets.note_sent(target, m_context.warm_up_of(m_service),
+                                     m_context.fleet_size(), m_context.now());
     if (is_engine_service())
         m_tokens_ahead = m_context.engines.note_sent(
             target, make_generation_request(), m_context.now());
@@ -224,7 +224,7 @@
         m_refusal = refusal::stopping;
         co_return attempt_outcome::given_up;
     }
-    if (is_retry && !m_context.retries_of(m_service).try_spend())
+    if (is_retry && !m_context.retry_budget_for(m_service).try_spend())
     {
         if (m_refusal == refusal::none)
             m_refusal = refusal::retries_spent;
@@ -241,13 +241,13 @@
     m_refusal = refusal::none;
     const decision::target_incarnation id = target->incarnation;
     m_call = std::make_shared<target_call>(
-        m_context.links, m_context.speech,
+        m_context.links, m_context.protocol,
         call_destination{id, runtime::address::parse(target->address)});
     http_request forwarded_request;
     // Assigning the fields also overwrites method and path, so those are set
     // afterwards.
     static_cast<http_fields&>(forwarded_request.base()) =
-        m_context.speech.forwarded(m_request, marks_for(*target));
+        m_context.protocol.forwarded(m_request, marks_for(*target));
     forwarded_request.method_string(m_request.method_string());
     forwarded_request.target(m_request.target());
     forwarded_request.body() = m_request.body();
@@ -255,14 +255,15 @@
     const instant began = m_context.now();
     m_sent_at = began;
     if (!is_retry)
-        m_context.routes[m_route->name].before.add(began - m_started_at);
+        m_context.times_by_route[m_route->name].time_to_send.add(began -
+                                                                 m_started_at);
     const auto send_result = co_await m_call->send_request(
         forwarded_request, m_facts.id, attempt_timeout());
     if (send_result == target_call::outcome::ok)
     {
         note_alive(m_context, id, m_call->opened_at());
-        m_context.cold.note_answered(id, m_context.warm_up_of(m_service).period,
-                                     m_context.now());
+        m_context.cold_targets.note_answered(
+            id, m_context.warm_up_of(m_service).period, m_context.now());
     }
     attempt_outcome outcome = attempt_outcome::given_up;
     if (m_session->has_left())
@@ -305,7 +306,7 @@
                                 result == target_call::outcome::connection_lost;
     if (may_have_ended &&
         m_context.warm_up_of(m_service).period > duration::zero())
-        m_context.cold.note_lost(target, now);
+        m_context.cold_targets.note_lost(target, now);
     m_is_outcome_recorded = true;
     switch (result)
     {
--- a/packages/serving/exchange_admission.cpp
+++ b/packages/serving/exchange_admission.cpp
@@ -8,7 +8,7 @@
 
 bool exchange::has_catalog() const
 {
-    return m_context.is_informed();
+    return m_context.has_routing_state();
 }
 
 // When all entries start at once, requests arrive some hundredths of a second
@@ -27,7 +27,7 @@
     co_await wait_during_startup(
         [this]
         {
-            return m_context.knows_all_targets ||
+            return m_context.has_all_targets ||
                    !m_context.directory.serving(m_service).empty();
         });
 }
@@ -35,7 +35,7 @@
 awaitable<void>
 exchange::wait_during_startup(std::function<bool()> is_available)
 {
-    while (!is_available() && m_context.now() < m_context.requests_wait_until &&
+    while (!is_available() && m_context.now() < m_context.startup_wait_end &&
            !m_session->has_left())
         co_await wait_poll_interval();
 }
@@ -52,7 +52,7 @@
 {
     try
     {
-        m_facts = m_context.speech.facts(m_request);
+        m_facts = m_context.protocol.facts(m_request);
         check_facts(m_facts);
     }
     catch (const facts_error& fault)
@@ -112,31 +112,31 @@
     if (m_context.drain->is_out_of_rotation(now))
         m_process_end = m_context.drain->request_deadline();
     return !m_context.drain->accepts(now, expected_request_time(),
-                                     m_context.is_outlasted());
+                                     m_context.has_other_entries());
 }
 
 decision::drain::request_duration exchange::expected_request_time() const
 {
-    const auto known = m_context.routes.find(m_route->name);
-    if (known == m_context.routes.end())
+    const auto known = m_context.times_by_route.find(m_route->name);
+    if (known == m_context.times_by_route.end())
         return {remaining_time(), remaining_time()};
     const entry_context::route_times& times = known->second;
-    const duration answer =
-        times.first.mean() + times.per_token.mean() * max_output_tokens();
-    return {times.before.mean() + answer,
+    const duration answer = times.time_to_first_event.mean() +
+                            times.time_per_token.mean() * max_output_tokens();
+    return {times.time_to_send.mean() + answer,
             std::min(remaining_time(),
-                     times.before.mean_plus(1) + longest_answer_time())};
+                     times.time_to_send.mean_plus(1) + longest_answer_time())};
 }
 
 // 1.5 times the longest recent answer: answer times of one route differ by a
 // factor of several.
 duration exchange::longest_answer_time() const
 {
-    const auto known = m_context.routes.find(m_route->name);
-    if (known == m_context.routes.end() ||
-        known->second.answer.value() == duration::zero())
+    const auto known = m_context.times_by_route.find(m_route->name);
+    if (known == m_context.times_by_route.end() ||
+        known->second.answer_time.value() == duration::zero())
         return remaining_time();
-    const duration longest_seen = known->second.answer.value();
+    const duration longest_seen = known->second.answer_time.value();
     return longest_seen + longest_seen / 2;
 }
 
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -67,7 +67,7 @@
     // such errors are limited to one target or one moment.
     const bool should_retry = status >= 500 && m_sends->may_send() &&
                               !m_is_head_sent && !is_past_deadline() &&
-                              m_context.retries_of(m_service).has_retry();
+                              m_context.retry_budget_for(m_service).has_retry();
     if (should_retry)
     {
         m_refusal = refusal::target_lost;
@@ -85,14 +85,14 @@
     if (is_success(status))
     {
         note_served(m_context, content_digest());
-        auto& times = m_context.routes[m_route->name];
-        times.first.add(m_context.now() - m_sent_at);
-        times.answer.add(m_context.now() - m_sent_at);
+        auto& times = m_context.times_by_route[m_route->name];
+        times.time_to_first_event.add(m_context.now() - m_sent_at);
+        times.answer_time.add(m_context.now() - m_sent_at);
     }
     m_first_byte_at = m_context.now();
     const std::string body = call.take_body();
     co_await m_session->send_answer(
-        status, m_context.speech.returned(call.head()), body);
+        status, m_context.protocol.returned(call.head()), body);
     co_return attempt_outcome::answered;
 }
 
@@ -101,7 +101,7 @@
     std::string bytes;
     if (!m_is_head_sent)
     {
-        http_fields fields = m_context.speech.returned(call.head());
+        http_fields fields = m_context.protocol.returned(call.head());
         fields.set(http::field::transfer_encoding, "chunked");
         if (!m_session->stays_open())
             fields.set(http::field::connection, "close");
@@ -145,8 +145,8 @@
                 m_context.engines.note_prompt_read(call.target().start,
                                                    m_tokens_ahead);
                 m_context.engines.note_answered(call.target().start);
-                m_context.routes[m_route->name].first.add(m_context.now() -
-                                                          m_sent_at);
+                m_context.times_by_route[m_route->name].time_to_first_event.add(
+                    m_context.now() - m_sent_at);
                 if (m_stages)
                     m_stages->release();
             }
@@ -189,10 +189,10 @@
     note_served(m_context, content_digest());
     if (m_sends->sends() == 1)
     {
-        auto& times = m_context.routes[m_route->name];
-        times.per_token.add((m_context.now() - m_first_byte_at) /
-                            max_output_tokens());
-        times.answer.add(m_context.now() - m_sent_at);
+        auto& times = m_context.times_by_route[m_route->name];
+        times.time_per_token.add((m_context.now() - m_first_byte_at) /
+                                 max_output_tokens());
+        times.answer_time.add(m_context.now() - m_sent_at);
     }
     if (!co_await m_session->send("0\r\n\r\n"))
         m_session->close_after();
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -42,7 +42,7 @@
     const instant now = m_context.now();
     m_verdict = known.judge(
         content_digest(), now,
-        [this] { return m_context.seat_for(to_text(content_digest())); });
+        [this] { return m_context.ordinal_for(to_text(content_digest())); });
     m_is_trial = m_verdict.outcome == decision::quarantine::admission::trial;
     if (m_verdict.outcome == decision::quarantine::admission::held)
         known.note_waiting(content_digest(), now);
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -63,7 +63,7 @@
         return std::to_string(static_cast<std::uint64_t>(
             std::ceil(seconds(m_verdict.retry_after).count())));
     constexpr double min_delay_s = 0.05;
-    if (m_refusal == refusal::stopping && m_context.is_outlasted())
+    if (m_refusal == refusal::stopping && m_context.has_other_entries())
         return std::to_string(min_delay_s).substr(0, 5);
     const double remaining_s =
         seconds(m_facts.budget
@@ -104,7 +104,7 @@
     http_fields fields;
     fields.set(http::field::content_type, "application/json");
     if (!m_facts.id.empty())
-        for (const auto& field : m_context.speech.echo(m_facts.id))
+        for (const auto& field : m_context.protocol.echo(m_facts.id))
             fields.set(field.name_string(), field.value());
     if (status == 503)
         fields.set(http::field::retry_after, retry_after());
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -31,11 +31,11 @@
 // is of no use either, so the time to generate the answer is subtracted.
 instant exchange::stages_deadline() const
 {
-    const auto known = m_context.routes.find(m_route->name);
+    const auto known = m_context.times_by_route.find(m_route->name);
     const duration generation_time =
-        known == m_context.routes.end()
+        known == m_context.times_by_route.end()
             ? duration::zero()
-            : known->second.per_token.mean() * max_output_tokens();
+            : known->second.time_per_token.mean() * max_output_tokens();
     const instant latest_end = m_deadline - generation_time;
     return m_route->patience == duration::zero()
                ? latest_end
@@ -60,7 +60,7 @@
     auto status = decision::job_status::failed;
     // The engine's time depends on the prompt and the answer, and so differs by
     // route.
-    const auto& times = m_context.routes[m_route->name];
+    const auto& times = m_context.times_by_route[m_route->name];
     for (int attempts = 0; attempts < max_attempts && !is_past_deadline();
          ++attempts)
     {
@@ -68,8 +68,9 @@
         m_stages = std::make_unique<stage_runner>(
             m_context, *m_route, m_facts, content_digest(),
             expected_engine_zone(), priority_delay(),
-            m_started_at + m_route->aim - times.first.mean_plus(1),
-            std::min(stages_deadline() - times.first.mean(),
+            m_started_at + m_route->latency_objective -
+                times.time_to_first_event.mean_plus(1),
+            std::min(stages_deadline() - times.time_to_first_event.mean(),
                      latest_send_time()));
         status = co_await m_stages->run();
         if (m_session->has_left_unseen())
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -22,21 +22,22 @@
     const auto& all = m_context.directory.serving(m_service);
     const decision::warm_up service_warm_up = m_context.warm_up_of(m_service);
     m_cold_retry_at.reset();
-    if (service_warm_up.period <= duration::zero() || !m_context.cold.has_any())
+    if (service_warm_up.period <= duration::zero() ||
+        !m_context.cold_targets.has_any())
         return all;
     const instant now = m_context.now();
-    const bool are_entries_known = m_context.knows_entries();
+    const bool are_entries_known = m_context.is_fleet_size_known();
     std::vector<const decision::listed_target*> open;
     for (const auto* target : all)
     {
-        if (!m_context.cold.is_cold(target->incarnation, now))
+        if (!m_context.cold_targets.is_cold(target->incarnation, now))
         {
             open.push_back(target);
             continue;
         }
-        const instant next = m_context.cold.next_send(
-            target->incarnation, service_warm_up, m_context.entries_sharing(),
-            now, m_context.random);
+        const instant next = m_context.cold_targets.next_send(
+            target->incarnation, service_warm_up, m_context.fleet_size(), now,
+            m_context.random);
         if (next <= now && are_entries_known)
             open.push_back(target);
         else if (!m_cold_retry_at || next < *m_cold_retry_at)
--- a/packages/serving/source_reader_changes.cpp
+++ b/packages/serving/source_reader_changes.cpp
@@ -8,71 +8,71 @@
 void source_reader::apply(const source_page& page)
 {
     const instant now = m_context.now();
-    for (const source_change& one : page.changes)
+    for (const source_change& change : page.changes)
     {
-        switch (one.what)
+        switch (change.kind)
         {
-        case source_change::kind::catalog:
-            adopt(one.catalog, "source");
+        case source_change::record_kind::catalog:
+            apply_catalog(change.catalog, "source");
             break;
-        case source_change::kind::zone:
-            take_zone_words(m_context, {{one.zone}, 0}, "source");
+        case source_change::record_kind::zone:
+            apply_zone_evacuations(m_context, {{change.zone}, 0}, "source");
             break;
-        case source_change::kind::target:
-            note_service(one);
-            m_context.note_cold(one.target);
-            if (m_context.directory.note(one.target))
+        case source_change::record_kind::target:
+            report_unknown_service(change);
+            m_context.note_cold(change.target);
+            if (m_context.directory.note(change.target))
                 runtime::event("target_listed")
-                    .with("target", one.target.incarnation.id)
-                    .with("born", one.target.incarnation.started_ms)
+                    .with("target", change.target.incarnation.id)
+                    .with("born", change.target.incarnation.started_ms)
                     .with("state",
-                          one.target.is_leaving ? "leaving" : "serving")
-                    .with("revision", one.target.revision)
+                          change.target.is_leaving ? "leaving" : "serving")
+                    .with("revision", change.target.revision)
                     .info();
             break;
-        case source_change::kind::target_removed:
-            if (m_context.directory.note_removed(one.target.incarnation.id,
-                                                 one.revision, now))
+        case source_change::record_kind::target_removed:
+            if (m_context.directory.note_removed(change.target.incarnation.id,
+                                                 change.revision, now))
                 runtime::event("target_removed")
-                    .with("target", one.target.incarnation.id)
-                    .with("revision", one.revision)
+                    .with("target", change.target.incarnation.id)
+                    .with("revision", change.revision)
                     .info();
             break;
-        case source_change::kind::target_unreadable:
-            note_unreadable(one);
+        case source_change::record_kind::target_unreadable:
+            report_unreadable(change);
             break;
-        case source_change::kind::other:
+        case source_change::record_kind::other:
             break;
         }
     }
 }
 
-// No route leads to it now. It stays in the list: the next catalog can name
-// its service.
-void source_reader::note_service(const source_change& one)
+// No route uses the target's service now. The target stays in the list, as the
+// next catalog can define the service.
+void source_reader::report_unknown_service(const source_change& change)
 {
     if (!m_context.catalog ||
-        m_context.catalog->find_service(one.target.service) != nullptr)
+        m_context.catalog->find_service(change.target.service) != nullptr)
         return;
     m_context.count("entries_unreadable", "why", "service");
     runtime::event("target_of_unknown_service")
-        .with("target", one.target.incarnation.id)
-        .with("service", one.target.service)
-        .with("revision", one.revision)
+        .with("target", change.target.incarnation.id)
+        .with("service", change.target.service)
+        .with("revision", change.revision)
         .warn();
 }
 
-// One line for each writing, however often it is read.
-void source_reader::note_unreadable(const source_change& one)
+// Counts and logs a revision of a record only once, however often it is read.
+void source_reader::report_unreadable(const source_change& change)
 {
-    if (!m_context.directory.note_unreadable(one.target.incarnation.id,
-                                             one.revision))
+    if (!m_context.directory.note_unreadable(change.target.incarnation.id,
+                                             change.revision))
         return;
-    m_context.count("entries_unreadable", "why", to_string(one.fault));
+    m_context.count("entries_unreadable", "why", to_string(change.fault));
     runtime::event("target_unreadable")
-        .with("target", one.target.incarnation.id)
-        .with("why", to_string(one.fault))
-        .with("revision", one.revision)
+        .with("target", change.target.incarnation.id)
+        .with("why", to_string(change.fault))
+        .with("revision", change.revision)
         .warn();
 }
 
--- a/tests/serving/exchange_test.cpp
+++ b/tests/serving/exchange_test.cpp
@@ -87,7 +87,7 @@
     serving_fixture entry;
     entry.add_target("plain", complete_response);
     const auto catalog = std::exchange(entry.context->catalog, nullptr);
-    entry.context->requests_wait_until = entry.time.now() + 500ms;
+    entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
     entry.settle();
@@ -105,8 +105,8 @@
 TEST_CASE("a request to a starting process waits for a target of its service")
 {
     serving_fixture entry;
-    entry.context->knows_all_targets = false;
-    entry.context->requests_wait_until = entry.time.now() + 500ms;
+    entry.context->has_all_targets = false;
+    entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto caller = entry.connect();
     entry.send(*caller, request("/once/", "r1"));
     entry.settle();
@@ -124,7 +124,7 @@
 {
     serving_fixture entry;
     entry.context->catalog = nullptr;
-    entry.context->requests_wait_until = entry.time.now() + 500ms;
+    entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto early_caller = entry.connect();
     entry.send(*early_caller, request("/once/", "r1"));
     entry.settle();
--- a/tests/serving/frame_socket_test.cpp
+++ b/tests/serving/frame_socket_test.cpp
@@ -48,7 +48,7 @@
     asio::io_context loop{1};
     frame_socket_ptr sender;
     frame_socket_ptr receiver;
-    catalog_collector collector;
+    catalog_assembler collector;
     std::optional<std::string> catalog;
     std::size_t parts = 0;
     std::size_t parts_before_pong = 0;
@@ -80,7 +80,7 @@
 {
     connected_sockets sockets;
     const auto text = make_text(8 << 20);
-    sockets.sender->start_bulk_transfer(catalog_parts(text));
+    sockets.sender->start_bulk_transfer(catalog_part_source(text));
     sockets.run([&] { return sockets.parts > 0; });
     peer::Frame pong;
     pong.mutable_pong();
@@ -95,21 +95,22 @@
 TEST_CASE("a stopped bulk transfer sends no more parts")
 {
     connected_sockets sockets;
-    sockets.sender->start_bulk_transfer(catalog_parts(make_text(8 << 20)));
+    sockets.sender->start_bulk_transfer(
+        catalog_part_source(make_text(8 << 20)));
     sockets.run([&] { return sockets.parts > 0; });
     sockets.sender->stop_bulk_transfer();
     const std::size_t before = sockets.parts;
     sockets.loop.run_for(200ms);
     CHECK_FALSE(sockets.catalog);
     CHECK(sockets.parts < before + 200);
-    sockets.sender->start_bulk_transfer(catalog_parts(make_text(100000)));
+    sockets.sender->start_bulk_transfer(catalog_part_source(make_text(100000)));
     sockets.run([&] { return sockets.catalog.has_value(); });
     CHECK(sockets.catalog);
 }
 
 TEST_CASE("catalog parts that are not contiguous are rejected")
 {
-    catalog_collector collector;
+    catalog_assembler collector;
     CHECK_FALSE(collector.add(make_part(6, 0, "abc")));
     CHECK_FALSE(collector.add(make_part(6, 4, "ef")));
     CHECK_FALSE(collector.add(make_part(6, 3, "def")));
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -43,15 +43,15 @@
      "    cold.cold_until = std::max(cold.cold_until, now + left);",
      "    cold.cold_until = now;", ["cold"]),
     ("lost history is not read again", "packages/serving/source_reader.cpp",
-     "        m_has_all = false;\n        co_return true;",
+     "        m_has_full_list = false;\n        co_return true;",
      "        co_return true;", ["store", "publish"]),
     ("a stop ends the process at once", "packages/serving/entry_process.cpp",
      "m_context.drain->may_exit(now, is_idle)",
-     "is_idle || now >= m_context.drain->started_at() + 6 * stop_tick",
+     "is_idle || now >= m_context.drain->started_at() + 6 * drain_check_interval",
      ["stop"]),
     ("the key is passed on", "platform/request_dialect.cpp",
      "fields.erase(http::field::authorization);", "", ["publish"]),
-    ("a hangup has no handler", "packages/serving/settings_keeper.cpp",
+    ("a hangup has no handler", "packages/serving/settings_reloader.cpp",
      "m_hangup(context.loop, SIGHUP)", "m_hangup(context.loop)", ["hangup"]),
     ("a stage gets one of its inputs only", "packages/serving/stage_runner.cpp",
      "        const auto& handles = m_states.at(one).handles;\n"
@@ -60,14 +60,15 @@
      ["publish"]),
     ("a bad entry leaves the good one before it in use",
      "packages/serving/source_reader_changes.cpp",
-     "            note_unreadable(one);\n            break;",
+     "            report_unreadable(change);\n            break;",
      "            break;", ["foreign_entry"]),
     ("nobody notices that a caller leaves",
      "packages/serving/caller_session.cpp",
      "    m_has_left = true;", "    return;", ["target_mode"]),
     ("every word of a newer catalog asks for a copy",
      "packages/serving/peer_mesh.cpp",
-     "    if (!lacking.should_request(address, m_source.state(), m_context.now()))\n"
+     "    if (!lacking.should_request(address, m_source.source_state(),\n"
+     "                                m_context.now()))\n"
      "        return false;\n"
      "    if (!before.empty() && before != address)\n"
      "        drop_copy(before);\n",
