--- a/packages/serving/elected_maker.cpp
+++ b/packages/serving/elected_maker.cpp
@@ -27,7 +27,7 @@
     loop_timer timer(m_context.loop);
     while (!m_others.is_settled())
     {
-        error_code ignored; // Nobody cancels it.
+        error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
     }
--- a/packages/serving/elected_maker.hpp
+++ b/packages/serving/elected_maker.hpp
@@ -7,15 +7,16 @@
 namespace mangofold::serving
 {
 
-/// Has pieces made by the entry that gathers their service: the elected one
-/// among those that answer. What it is asked and does not answer before it is
-/// lost goes to the next one, and is made again.
+/// Routes each stage job to the entry elected to batch its service, among the
+/// entries that answer. Jobs that another entry had not answered when its
+/// connection was lost are sent to the next elected entry and executed again.
 class elected_maker : public piece_maker
 {
 public:
     elected_maker(entry_context& context, gatherer& own, peer_mesh& others);
 
-    /// Hands out what was kept back until it is known who gathers.
+    /// Submits the jobs that were held back until the batching entry of their
+    /// service is known.
     awaitable<void> run();
 
     void make(const std::string& service, decision::stage_job job,
@@ -32,7 +33,7 @@
     gatherer& m_own;
     peer_mesh& m_others;
     std::vector<orphaned_job> m_kept_back;
-    bool m_is_open = false; ///< It was once known who gathers.
+    bool m_is_open = false; ///< Whether the batching entries were ever known.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/gatherer.cpp
+++ b/packages/serving/gatherer.cpp
@@ -10,18 +10,18 @@
 namespace
 {
 
-/// How often expired jobs and results to let go of are looked for: a tenth
-/// of a call's fixed time.
+/// How often expired jobs and results to release are looked for: a tenth of a
+/// call's fixed time.
 constexpr duration tick = std::chrono::milliseconds(20);
 
-/// A call that takes this many times longer than expected, and this much
-/// more, is given up: its target is dark. One that turned slow is known to
-/// be slower by its next call.
+/// A call is aborted after its expected time multiplied by this factor, plus
+/// this margin: its target is unreachable. A target that only became slow has a
+/// higher expected time by its next call.
 constexpr int most_times = 3;
 constexpr duration most_more = std::chrono::milliseconds(300);
 
-/// How long a target takes at most to fetch the inputs of a call, beyond the
-/// bytes' own time on the link, and how many times that.
+/// The longest time that a target takes to fetch the inputs of a call: a fixed
+/// part, plus this multiple of the transfer time of the bytes.
 constexpr duration least_fetch = std::chrono::milliseconds(40);
 constexpr double fetch_margin = 4;
 
@@ -115,9 +115,9 @@
     return found;
 }
 
-// Inputs are fetched at the start of a call, and then only take room that
-// other results need. They are let go of as soon as they must have arrived,
-// a call's time earlier than its end.
+// Targets fetch inputs at the start of a call; after that the inputs only take
+// up memory that other results need. They are released as soon as they must
+// have arrived, a call's time before the call ends.
 duration gatherer::fetch_time(const line& one,
                               const decision::planned_call& plan) const
 {
@@ -136,7 +136,7 @@
                                        duration after)
 {
     loop_timer timer(m_context.loop, after);
-    error_code ignored; // Nobody cancels it.
+    error_code ignored; // No other code cancels this timer.
     co_await timer.async_wait(into(ignored));
     line& one = *m_lines.at(service);
     for (const decision::piece_ref& ref : plan.pieces)
@@ -266,7 +266,7 @@
     loop_timer timer(m_context.loop);
     for (;;)
     {
-        error_code ignored; // Nobody cancels it.
+        error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
         for (const auto& [service, said] : waits())
--- a/packages/serving/gatherer.hpp
+++ b/packages/serving/gatherer.hpp
@@ -15,37 +15,39 @@
 namespace mangofold::serving
 {
 
-/// Makes the pieces of all requests of stage services in full calls.
+/// Batches the pieces that stage jobs of many requests have for one service
+/// into as few calls to its targets as possible.
 class gatherer
 {
 public:
-    /// Takes the outcome of a job. Returns whether somebody still wants it.
+    /// Receives the outcome of a job. Returns whether the results are still
+    /// wanted.
     using outcome_sink = std::function<bool(piece_outcome)>;
-    /// Whether anybody still waits for a job.
+    /// Returns whether a request still waits for the job.
     using interest = std::function<bool()>;
-    /// Told once the inputs of a job are no longer needed.
+    /// Called once the targets no longer need the inputs of the job.
     using fetch_notice = std::function<void()>;
 
     explicit gatherer(entry_context& context);
 
-    /// Has \a job made. Exactly one outcome goes to \a done.
+    /// Executes \a job. Exactly one outcome is passed to \a done.
     void add(const std::string& service, decision::stage_job job,
              outcome_sink done, interest wanted, fetch_notice fetched);
 
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
 
-    /// Returns the jobs that are not made yet.
+    /// Returns the number of jobs that have not ended.
     std::size_t jobs() const;
 
-    /// Returns what waits at each service gathered here.
+    /// Returns the expected wait times of each service batched at this entry.
     std::map<std::string, decision::service_wait_times> waits() const;
 
-    /// Notes what waits at a service gathered elsewhere.
+    /// Notes the wait times of a service batched at another entry.
     void note_wait(const std::string& service,
                    const decision::service_wait_times& said);
 
-    /// Drives what depends on time only. Never returns.
+    /// Runs the periodic work. Never returns.
     awaitable<void> run();
 
 private:
@@ -55,8 +57,9 @@
         interest wanted;
         fetch_notice fetched;
         bool is_fetched = false;
-        std::uint32_t losses = 0; ///< Calls lost with pieces of it.
-        std::optional<decision::job_status> given_up; ///< A target said so.
+        std::uint32_t losses = 0; ///< Lost calls that held pieces of the job.
+        std::optional<decision::job_status>
+            given_up; ///< Why a target can't execute the job.
     };
 
     struct line
@@ -68,18 +71,19 @@
         std::uint64_t seen_changes = 0;
         instant used_at{};
         std::uint64_t calls = 0;  ///< Since the last summary.
-        std::uint64_t pieces = 0; ///< Of those calls.
+        std::uint64_t pieces = 0; ///< In the calls counted above.
         std::uint64_t no_room = 0;
         std::uint64_t late = 0;
     };
 
-    /// What is foreseen for requests whose later stages are at the same
-    /// services: many requests share it, and it is asked for each of them.
+    /// The forecast for requests whose later stages use the same services. It
+    /// is needed for every waiting request, and many requests share one.
     struct foresight
     {
         std::vector<std::string> services;
         duration call{};
-        bool is_late = false; ///< They will be late.
+        bool is_late =
+            false; ///< Whether these requests will miss their deadlines.
         duration time_after{};
         bool may_begin = true;
     };
--- a/packages/serving/gatherer_outlook.cpp
+++ b/packages/serving/gatherer_outlook.cpp
@@ -8,27 +8,30 @@
 namespace
 {
 
-/// A request begins where a piece of its next stages would wait this many
-/// times their calls' fixed time at most: less leaves gaps between their
-/// calls, more fills the room for results.
+/// A request is started if a piece of its next stages would wait at most this
+/// many times the fixed time of their calls: a lower bound leaves gaps between
+/// their calls, a higher one fills the memory for results.
 constexpr int begin_within = 2;
 
-/// The same for a request that will be late.
+/// The same bound for a request that will miss its deadline.
 constexpr int late_within = 1;
 
-/// How long an outlook holds while no new work was begun: a hundredth of a
-/// call. It is asked for each waiting request at each new piece, and worked
-/// out anew each time it took most of a gatherer's processor time in a burst.
+/// How long a forecast is valid while no new work is started: a hundredth of a
+/// call's time. It is needed for each waiting request at each new piece;
+/// computing it each time took most of the batching entry's processor time
+/// during a burst.
 constexpr duration foreseen_for = std::chrono::milliseconds(2);
 
-/// What waits at a service is said while work for it came this recently.
+/// The wait times of a service are reported while jobs for it arrived within
+/// this time.
 constexpr duration still_gathered = std::chrono::seconds(1);
 
 } // namespace
 
-// A request begins when its next stages can take it about a call's time after
-// this one is done. That keeps each of them busy, and little waiting there.
-// One that will be late only takes what the others leave.
+// A request is started when its next stages can accept it about a call's time
+// after this one is done. That keeps the next stages busy with short queues. A
+// request that will miss its deadline only takes capacity that the others
+// leave.
 gatherer::foresight gatherer::look_ahead(const decision::stage_job& job,
                                          duration call, bool is_late) const
 {
--- a/packages/serving/gatherer_results.cpp
+++ b/packages/serving/gatherer_results.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Calls with pieces of one job that may be lost before it counts as failed.
+/// A job fails once this many calls with pieces of it were lost.
 constexpr std::uint32_t most_losses = 3;
 
 } // namespace
@@ -69,8 +69,9 @@
     one.to_release[m_context.speech.maker_of(handle)].push_back(handle);
 }
 
-// A full target ran nothing, so nothing was lost. Counted as losses, three
-// refusals within a call's time ended requests that had seconds left.
+// A full target ran nothing, so no call was lost. When such refusals counted as
+// lost calls, three of them within a call's time failed requests that had
+// seconds left.
 void gatherer::put_back(line& one, const decision::planned_call& plan)
 {
     for (const decision::piece_ref& ref : plan.pieces)
@@ -136,9 +137,9 @@
                 std::move(done.handles), done.job.is_late);
 }
 
-// Pieces that nobody waits for any more, or that can't be ready in time, only
-// take the room and the time of others. Where all targets are evacuated, what
-// waits is told at once instead of when its time is over.
+// Pieces that no request waits for, or that can't be done in time, only take
+// memory and time from others. Where all targets are evacuated, waiting jobs
+// fail at once instead of when they expire.
 void gatherer::end_unwanted(const std::string& service, line& one)
 {
     const bool is_evacuated = m_context.directory.is_evacuated(service);
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -11,24 +11,24 @@
 namespace
 {
 
-/// Where this process asks this many times later than it meant to, it stood
-/// still itself.
+/// A ping that is late by this multiple of its interval shows that this process
+/// itself was stalled.
 constexpr int stood_still = 3;
 
-/// How long a connection may take to be made, at first, and a quarter longer
-/// with each try up to the longest. An instance that is not up yet answers
-/// nothing: a first try of half a second kept entries that started together
-/// from finding each other for as long.
+/// Time limit for connecting: it starts here and grows by a quarter with each
+/// attempt up to the maximum. An instance that is still starting does not
+/// answer at all; with a first limit of half a second, entries that started
+/// together took as long to find each other.
 constexpr duration first_connect_time = std::chrono::milliseconds(100);
 constexpr duration longest_connect_time = std::chrono::milliseconds(500);
 
-/// A connection that ended sooner is not made again without a pause.
+/// A connection that ended sooner than this is not reopened without a pause.
 constexpr duration least_connection = std::chrono::milliseconds(500);
 
-/// The pause before an entry that could not be reached is tried again, a
-/// quarter longer each time up to the longest. Entries that start together do
-/// so within some tenths of a second, and one that starts a little sooner
-/// finds no seed yet.
+/// The pause before an attempt to reach an unreachable entry is repeated: it
+/// grows by a quarter each time up to the maximum. Entries that are started
+/// together come up within some tenths of a second, and one that is a little
+/// earlier does not reach any seed yet.
 constexpr duration first_retry_pause = std::chrono::milliseconds(20);
 constexpr duration longest_retry_pause = std::chrono::milliseconds(400);
 
@@ -52,7 +52,7 @@
     guard.async_wait(
         [socket](const error_code& fault)
         {
-            error_code ignored; // It is given up either way.
+            error_code ignored; // The socket is abandoned in any case.
             if (!fault)
                 socket->close(ignored);
         });
@@ -97,16 +97,16 @@
             lose();
         }
         loop_timer timer(m_context.loop, pause);
-        error_code ignored; // Nobody cancels it.
+        error_code ignored; // No other code cancels this timer.
         co_await timer.async_wait(into(ignored));
         pause = std::min(pause + pause / 4, longest_retry_pause);
     }
 }
 
-// A connection that is reset says little about the other entry. Handing its
-// work to the next one for the moment until it is back would have both send
-// calls to the same targets, neither of them full. One that fell silent is
-// not waited for.
+// A connection reset says little about the other entry. If its jobs moved to
+// the next entry until the reconnect, both entries would send calls to the same
+// targets, and neither could fill its calls. An entry that stopped answering
+// gets no immediate reconnect.
 bool peer_link::may_be_back(instant began) const
 {
     return !m_is_closed && !m_is_silent &&
@@ -142,13 +142,13 @@
         const auto watch = m_listener.watch_of(m_address, !m_asked.empty());
         const bool is_given_work = co_await m_watch_now.wait(watch.interval);
         const instant now = m_context.now();
-        // Where this process itself stood still, the other one's silence
-        // says nothing; it gets the full time to answer from now on. The same
-        // goes for one that was watched from afar until now.
+        // If this process was stalled, the other entry's silence says nothing,
+        // and that entry gets the full time to answer from now on. The same
+        // holds for an entry that was pinged at a longer interval until now.
         if (is_given_work || now - asked_at > watch.interval * stood_still)
             m_heard_at = now;
         drop_unwanted();
-        // A frame that is long on its way over a narrow link is no silence.
+        // Bytes count as an answer: a large frame takes long on a narrow link.
         if (socket->bytes_read() !=
             std::exchange(read_before, socket->bytes_read()))
             m_heard_at = now;
@@ -229,8 +229,8 @@
     m_socket->send(ask);
 }
 
-// What the other entry lacks goes at once, not with the next question, which
-// may be seconds away in a large fleet.
+// Target ends are sent at once rather than with the next ping, which may be
+// seconds away in a large fleet.
 void peer_link::tell_ends()
 {
     peer::Frame frame;
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -16,7 +16,7 @@
 namespace mangofold::serving
 {
 
-/// Work that another entry was asked for and whose answer will not come.
+/// A stage job with its service and the request that waits for it.
 struct orphaned_job
 {
     std::string service;
@@ -24,54 +24,57 @@
     piece_wait_ptr wait;
 };
 
-/// What an entry does with what it hears from another one.
+/// Handles what an entry receives from another entry over a peer_link.
 class peer_listener
 {
 public:
     virtual ~peer_listener() = default;
 
-    /// Returns what this entry holds.
+    /// Returns the state of this entry that it tells other entries.
     virtual peer::Holding holding() const = 0;
-    /// Takes in what the entry at \a address holds. Returns what to ask it
-    /// for.
+    /// Handles the state of the entry at \a address. Returns what to request
+    /// from it.
     virtual peer::Want note_holding(const std::string& address,
                                     const peer::Holding& theirs) = 0;
-    /// Takes in the catalog that the entry at \a address sent.
+    /// Handles a catalog received from the entry at \a address.
     virtual void take_catalog(const std::string& address,
                               const std::string& text) = 0;
-    /// Notes that a part of a catalog came from the entry at \a address.
+    /// Notes that a part of a catalog was received from the entry at \a
+    /// address.
     virtual void note_catalog_part(const std::string& address) = 0;
-    /// Takes in a part of the list of targets.
+    /// Handles a part of the list of targets.
     virtual void take_targets(const std::string& address,
                               const peer::Targets& targets) = 0;
-    /// Notes that the entry at \a address gives no copy now.
+    /// Notes that the entry at \a address declined to send a copy for now.
     virtual void note_declined(const std::string& address) = 0;
-    /// Returns how to watch the entry at \a address.
+    /// Returns how often to ping the entry at \a address, and after which
+    /// silence it counts as lost.
     virtual decision::entry_roster::watch watch_of(const std::string& address,
                                                    bool holds_work) const = 0;
-    /// Notes that the entry at \a address answers no more.
+    /// Notes that the entry at \a address no longer answers.
     virtual void note_lost(const std::string& address) = 0;
-    /// Takes work back from an entry that stopped answering.
+    /// Takes back jobs from an entry that no longer answers.
     virtual void take_back(std::vector<orphaned_job> jobs) = 0;
 };
 
-/// The connection that this entry keeps to another one, to ask it for things.
+/// The connection from this entry to another one, over which it pings that
+/// entry and sends it jobs and requests for copies.
 class peer_link : public std::enable_shared_from_this<peer_link>
 {
 public:
     peer_link(entry_context& context, peer_listener& listener,
               std::string address);
 
-    /// Connects again and again, until close().
+    /// Connects, and reconnects after each loss, until close().
     awaitable<void> run();
     void close();
 
     const std::string& address() const { return m_address; }
 
-    /// Whether the other entry answered lately.
+    /// Whether the other entry answers.
     bool is_alive() const { return m_is_alive; }
 
-    /// Returns when the other entry last answered.
+    /// Returns when the other entry was last heard from.
     instant heard_at() const { return m_heard_at; }
 
     void ask(const std::string& service, decision::stage_job job,
@@ -79,10 +82,10 @@
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
 
-    /// Asks the other entry now, not when the next question is due.
+    /// Pings the other entry now instead of at the next interval.
     void ask_now() { m_watch_now.raise(); }
 
-    /// Tells the other entry to send no more of what it sends in parts.
+    /// Asks the other entry to stop sending a copy in parts.
     void drop_copy();
 
 private:
@@ -104,14 +107,15 @@
     frame_socket_ptr m_socket;
     std::map<std::uint64_t, orphaned_job> m_asked;
     std::uint64_t m_next_number = 1;
-    duration m_connect_time; ///< Of the next try.
+    duration m_connect_time; ///< Time limit of the next attempt to connect.
     instant m_heard_at{};
     bool m_is_alive = false;
-    bool m_is_silent = false; ///< It answers no more, and was closed here.
-    signal_point m_watch_now; ///< It is to be asked now.
+    bool m_is_silent = false; ///< Whether the connection was closed because the
+                              ///< other entry stopped answering.
+    signal_point m_watch_now; ///< Raised to ping at once.
     bool m_is_closed = false;
     catalog_collector m_catalog;
-    end_news m_news; ///< On the present connection.
+    end_news m_news; ///< For the current connection.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -14,8 +14,8 @@
 
 constexpr duration tick = std::chrono::milliseconds(500);
 
-/// An entry that has not answered for this long is forgotten, unless the
-/// settings name it; it makes itself known again when it starts.
+/// An entry that has not answered for this long is removed, unless it is a
+/// seed; it announces itself again when it starts.
 constexpr duration forget_after = std::chrono::seconds(30);
 
 } // namespace
@@ -68,9 +68,9 @@
     return m_roster.watch_of(address, holds_work, m_context.now());
 }
 
-// All entries hear of it at once. They would ask only a second later, and in
-// the meantime those told to stop one after the other hand their work on to
-// the next one that stops.
+// All entries are told at once. Otherwise they would hear of it only with their
+// next ping a second later, and entries that are stopped one after the other
+// would hand their jobs to the one that stops next.
 void peer_mesh::set_stopping()
 {
     m_roster.set_stopping(m_context.now());
@@ -132,7 +132,7 @@
 
 void peer_mesh::note_level(decision::catch_up& lacking)
 {
-    // What another entry still sends only takes room on the way.
+    // A copy that another entry is still sending only takes bandwidth now.
     if (!lacking.under_way().empty())
         drop_copy(lacking.under_way());
     lacking.note_level();
@@ -205,7 +205,7 @@
                                              duration(one.call_ns())});
     peer::Want want;
     want.set_catalog(wants_catalog(address, theirs));
-    // One thing at a time: both would share the way.
+    // One copy at a time: two would share the bandwidth.
     if (m_lacks_catalog.under_way().empty())
         want.set_targets(wants_targets(address, theirs));
     return want;
@@ -296,10 +296,10 @@
     loop_timer timer(m_context.loop);
     for (;;)
     {
-        // The settings can name other ones while this process runs.
+        // The seeds can change with the settings while this process runs.
         for (const runtime::address& one : m_context.settings.seeds)
             add(one.text());
-        error_code ignored; // Nobody cancels it.
+        error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
         forget_lost();
--- a/packages/serving/peer_mesh.hpp
+++ b/packages/serving/peer_mesh.hpp
@@ -13,48 +13,53 @@
 namespace mangofold::serving
 {
 
-/// The other entries: finds them from a few known ones, sees which answer,
-/// and evens out what they hold.
+/// The links to all other entries: discovers entries from a few seeds, tracks
+/// which of them answer, and exchanges the catalog and the list of targets with
+/// them.
 class peer_mesh : public peer_listener
 {
 public:
     peer_mesh(entry_context& context, source_reader& source, gatherer& own);
 
-    /// Starts with the known entries, and drives what depends on time only.
+    /// Connects to the seeds and runs the periodic work.
     awaitable<void> run();
 
-    /// Notes that an entry can be reached at \a address.
+    /// Adds the entry that can be reached at \a address.
     void add(const std::string& address);
 
-    /// Returns the link to the entry that gathers \a service, or nothing
-    /// where this one does.
+    /// Returns the link to the entry that batches \a service, or nothing if
+    /// this entry does.
     peer_link* gathering(const std::string& service);
 
     /// Notes that this entry starts now and knows its seeds only.
     void set_started();
 
-    /// Whether this entry has seen enough of the others to say who gathers.
+    /// Whether this entry has seen enough of the others to determine which
+    /// entry batches a service.
     bool is_settled() const { return m_roster.is_settled(m_context.now()); }
 
-    /// Returns the place of this entry among all for \a matter.
+    /// Returns the position of this entry in the order of all entries for \a
+    /// matter.
     decision::seat seat_for(const std::string& matter) const
     {
         return m_roster.seat_for(matter);
     }
 
-    /// Notes that this entry is about to end.
+    /// Notes that this entry is stopping.
     void set_stopping();
 
-    /// Whether enough others go on for longer to take this one's callers.
+    /// Whether enough other entries keep running longer than this one to take
+    /// over its callers.
     bool is_outlasted() const { return m_roster.is_outlasted(); }
 
-    /// Takes in what an entry that asks this one says of itself.
+    /// Handles the state that the entry at \a address sent with a ping.
     void note_asker(const std::string& address, const peer::Holding& theirs);
 
     using work_sink = std::function<void(std::vector<orphaned_job>)>;
     void set_work_sink(work_sink sink) { m_sink = std::move(sink); }
 
-    /// Returns what this entry holds, for one that knows \a known entries.
+    /// Returns the state of this entry, for an entry that knows \a known
+    /// entries.
     peer::Holding holding(std::size_t known) const;
     peer::Holding holding() const override { return holding(m_roster.size()); }
     peer::Want note_holding(const std::string& address,
@@ -84,8 +89,10 @@
     source_reader& m_source;
     gatherer& m_gatherer;
     decision::entry_roster m_roster;
-    std::uint64_t m_services_of = 0;    ///< Catalog version.
-    std::uint64_t m_newest_version = 0; ///< Of a catalog that any entry holds.
+    std::uint64_t m_services_of =
+        0; ///< Catalog version of the services that m_roster was given.
+    std::uint64_t m_newest_version =
+        0; ///< Newest catalog version held by any entry.
     decision::catch_up m_lacks_catalog;
     decision::catch_up m_lacks_targets;
     std::map<std::string, std::shared_ptr<peer_link>> m_links;
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -76,7 +76,8 @@
 
 decision::target_end end_of(const peer::TargetEnd& message, instant now)
 {
-    // One that another entry says is still to come would never be forgotten.
+    // An end with a time in the future, as another entry may send it, would
+    // never expire.
     const duration ended(std::max<std::int64_t>(0, message.ended_ago_ns()));
     const duration began(message.began_ago_ns());
     return {{message.content_high(), message.content_low()},
@@ -135,7 +136,7 @@
 namespace
 {
 
-/// Some 10 KB: what is urgent waits behind one part at most.
+/// About 10 KB: an urgent frame waits behind one part at most.
 constexpr std::size_t targets_in_part = 100;
 
 bool is_address(const std::string& text)
@@ -192,7 +193,7 @@
     std::vector<decision::listed_target> news;
     for (const peer::Target& one : message.targets())
     {
-        // Another entry may know less of what an address is than this one.
+        // Another entry may validate addresses less strictly than this one.
         if (one.is_removed() || !is_address(one.address()))
         {
             directory.note_gone(one.id(), one.revision());
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -15,29 +15,29 @@
 namespace mangofold::serving
 {
 
-/// Returns the frame that asks for \a job; its times are sent as what is
-/// left of them at \a now, since clocks differ.
+/// Returns the frame that submits \a job. Its times are sent relative to \a
+/// now, since the clocks of instances differ.
 peer::Frame job_frame(const std::string& service,
                       const decision::stage_job& job, instant now);
 decision::stage_job job_of(const peer::Job& message, instant now);
 
-/// The same of an end of a target.
+/// Writes a target end into a message, with times relative to \a now.
 void write_end(const decision::target_end& one, instant now,
                peer::TargetEnd& message);
 decision::target_end end_of(const peer::TargetEnd& message, instant now);
 
-/// The same of evacuated zones, in what an entry holds.
+/// Writes evacuated zones into the state that an entry sends.
 void write_zones(const decision::zone_words& known, peer::Holding& message);
 decision::zone_words zones_of(const peer::Holding& message);
 
 peer::Frame job_end_frame(std::uint64_t number, const piece_outcome& outcome);
 piece_outcome outcome_of(const peer::JobEnd& message);
 
-/// Returns what sends all that \a directory knows, in parts.
+/// Returns a source of frames that hold all targets of \a directory, in parts.
 frame_socket::part_source
 target_parts(const decision::target_directory& directory);
 
-/// Takes in what another entry knows of targets. Returns those that were news.
+/// Applies targets received from another entry. Returns those that were new.
 std::vector<decision::listed_target>
 take_targets(const peer::Targets& message,
              decision::target_directory& directory);
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -10,8 +10,9 @@
 namespace
 {
 
-/// Copies of something large that one entry gives at a time. Each of two comes
-/// at half of the link's rate; a third comes sooner from who has the first.
+/// Copies of the catalog or the target list that one entry sends at a time. Two
+/// share the rate of the link; a third entry gets its copy sooner from the one
+/// that has the first.
 constexpr std::size_t most_copies = 2;
 
 } // namespace
@@ -93,9 +94,9 @@
     }
 }
 
-// All entries that start at once ask the first ones that hold a list. Given to
-// all of them, each copy takes seconds of the giver's link, behind which its
-// callers' answers wait.
+// All entries that start at once ask the first ones that hold a list. If the
+// list is sent to all of them, each copy takes seconds of the sender's link,
+// and responses to its callers wait behind the copies.
 bool peer_server::admits_copy(const frame_socket_ptr& socket)
 {
     std::erase_if(m_copied_to,
@@ -151,8 +152,8 @@
             *is_wanted = false;
             if (!is_taken)
                 return false;
-            // Targets may have ended under it: whoever asked must know before
-            // it asks again.
+            // Targets may have ended while they ran this job; the entry that
+            // submitted it must learn of them before it submits the job again.
             peer::Frame news;
             if (outcome.end == decision::job_status::failed &&
                 from->news.write(*news.mutable_ends()))
--- a/packages/serving/peer_server.hpp
+++ b/packages/serving/peer_server.hpp
@@ -14,17 +14,18 @@
 namespace mangofold::serving
 {
 
-/// Answers what other entries ask this one.
+/// Serves the requests of other entries on connections that they opened.
 class peer_server
 {
 public:
-    /// Takes the address at which an entry that connected can be reached.
+    /// Receives the address at which a connected entry can be reached.
     using arrival = std::function<void(const std::string& address)>;
     using text_source = std::function<std::shared_ptr<const std::string>()>;
-    /// Returns what this entry holds, for one that knows so many entries.
+    /// Returns the state of this entry, for an entry that knows \a known
+    /// entries.
     using holding_source = std::function<peer::Holding(std::size_t known)>;
 
-    /// Takes what an entry that asks says of itself.
+    /// Receives the state that an entry sends with its pings.
     using asker_notice = std::function<void(const std::string& address,
                                             const peer::Holding& theirs)>;
 
@@ -36,12 +37,12 @@
         m_asker_notice = std::move(notice);
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections until the process ends.
     awaitable<void> run();
 
 private:
-    /// What one connected entry has asked for, by its own numbers. True while
-    /// it still wants it.
+    /// The jobs that a connected entry has submitted, by the numbers that it
+    /// gave them. True while the job is still wanted.
     using asked_jobs = std::map<std::uint64_t, std::shared_ptr<bool>>;
 
     /// One connected entry.
@@ -53,7 +54,7 @@
         }
 
         frame_socket_ptr socket;
-        std::string address; ///< As it says; empty before it does.
+        std::string address; ///< From its hello message; empty before.
         asked_jobs jobs;
         end_news news;
     };
@@ -72,7 +73,8 @@
     text_source m_catalog_text;
     asker_notice m_asker_notice;
     tcp::acceptor m_acceptor;
-    std::vector<std::weak_ptr<frame_socket>> m_copied_to; ///< Under way.
+    std::vector<std::weak_ptr<frame_socket>>
+        m_copied_to; ///< Copies in progress.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/piece_maker.hpp
+++ b/packages/serving/piece_maker.hpp
@@ -11,18 +11,19 @@
 namespace mangofold::serving
 {
 
-/// How a job ended, with its results in the order of the pieces.
+/// How a job ended, with the handles of its results in the order of the pieces.
 struct piece_outcome
 {
     decision::job_status end = decision::job_status::failed;
     std::vector<std::string> handles;
-    bool was_late = false; ///< When it was begun.
+    bool was_late = false; ///< Whether the request was already late when the
+                           ///< job was started.
 
     friend bool operator==(const piece_outcome&,
                            const piece_outcome&) = default;
 };
 
-/// Where a request waits for one of its jobs.
+/// One job that a request has submitted and waits for.
 class piece_wait
 {
 public:
@@ -41,7 +42,7 @@
 
     const std::optional<piece_outcome>& outcome() const { return m_outcome; }
 
-    /// Notes that the targets have fetched the inputs of all its pieces.
+    /// Notes that the targets have fetched the inputs of all pieces of the job.
     void set_fetched()
     {
         m_is_fetched = true;
@@ -49,7 +50,7 @@
     }
     bool is_fetched() const { return m_is_fetched; }
 
-    /// Notes that nobody waits any more.
+    /// Notes that the request no longer waits for the job.
     void drop() { m_is_dropped = true; }
     bool is_dropped() const { return m_is_dropped; }
 
@@ -62,18 +63,18 @@
 
 using piece_wait_ptr = std::shared_ptr<piece_wait>;
 
-/// Makes the pieces of stages, here or at another entry.
+/// Executes stage jobs, at this entry or at another one.
 class piece_maker
 {
 public:
     virtual ~piece_maker() = default;
 
-    /// Has \a job made by targets of \a service. The outcome goes to \a wait;
-    /// it always comes, at the latest soon after the job's time is over.
+    /// Has targets of \a service execute \a job. \a pending always receives an
+    /// outcome, at the latest soon after the job has expired.
     virtual void make(const std::string& service, decision::stage_job job,
                       piece_wait_ptr wait) = 0;
 
-    /// Lets go of results of \a service.
+    /// Releases results of \a service, which their targets then delete.
     virtual void release(const std::string& service,
                          std::vector<std::string> handles) = 0;
 };
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// How long beyond a job's time its outcome is waited for; whoever makes it
-/// says so by then.
+/// How long after a job has expired its outcome is still awaited; the entry
+/// that executes the job reports an outcome by then.
 constexpr duration outcome_slack = std::chrono::milliseconds(100);
 
 } // namespace
@@ -36,8 +36,8 @@
     const bool has_inputs = std::all_of(
         after.begin(), after.end(),
         [this](std::size_t one) { return m_states.at(one).now == step::done; });
-    // A stage beside a longer chain is made when that one has come as near
-    // to the end: its results would only take room until then.
+    // A stage beside a longer chain waits until the rest of that chain is as
+    // short as its own: results made earlier would only take up memory.
     return has_inputs && way_to_end(index).size() >= longest_way_left();
 }
 
@@ -97,8 +97,8 @@
     return inputs;
 }
 
-// A stage is best made where its inputs are, and a first one where the request
-// will run.
+// A stage preferably runs where its inputs are, and a first stage where the
+// request will run.
 std::string stage_runner::zone_of(const catalog::stage& stage) const
 {
     for (const std::size_t one : stage.after)
@@ -124,7 +124,7 @@
         own.now = step::done;
         return;
     }
-    // Asked before this one counts as running itself.
+    // Evaluated before this stage itself counts as running.
     const bool is_begun = has_begun();
     own.now = step::running;
     own.wait = std::make_shared<piece_wait>(m_changed);
@@ -177,8 +177,8 @@
     return one.now == step::running && one.wait->is_fetched();
 }
 
-// Room for results is scarce: each is let go of as soon as everything that
-// needs it is done.
+// Memory for results is scarce: each result is released as soon as all stages
+// that need it are done.
 void stage_runner::release_used()
 {
     for (std::size_t index = 0; index < m_states.size(); ++index)
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -11,9 +11,10 @@
 namespace mangofold::serving
 {
 
-/// Has the pieces of one request's stages made, each stage as soon as those
-/// that it follows are done. Whoever is done with it calls release(): at the
-/// end of a process, destructors run when nothing is left to release with.
+/// Executes the stages of one request, each stage as soon as the stages that it
+/// depends on are done. The owner calls release() when it no longer needs the
+/// results: the destructor can't, since at the end of the process the objects
+/// that send releases may be gone already.
 class stage_runner
 {
 public:
@@ -24,25 +25,30 @@
     stage_runner(const stage_runner&) = delete;
     stage_runner& operator=(const stage_runner&) = delete;
 
-    /// Makes all stages. Returns how it ended; made() holds the results.
+    /// Executes all stages. Returns how execution ended; results() then returns
+    /// the handles of the results.
     awaitable<decision::job_status> run();
 
-    /// Stops at once, from outside.
+    /// Makes run() return at once; called from outside of run().
     void abort();
 
-    /// Returns when each stage was done, in milliseconds after \a began.
+    /// Returns the times at which the stages were done, in milliseconds after
+    /// \a began, separated by spaces.
     std::string done_after(instant began) const;
 
-    /// Whether a stage was begun although the request would be late.
+    /// Whether a stage was started although the request would miss its
+    /// deadline.
     bool is_late() const { return m_is_late; }
 
-    /// Returns the results that the request itself needs.
+    /// Returns the handles of the results that the request itself reads: those
+    /// of stages without dependents.
     std::vector<std::string> results() const;
 
-    /// Returns the bytes of those results, by the zone of their makers.
+    /// Returns the size of those results, by the zone of the targets that hold
+    /// them.
     std::map<std::string, std::uint64_t> bytes_by_zone() const;
 
-    /// Lets go of every result that is still held.
+    /// Releases all results that are still held.
     void release();
 
 private:
@@ -59,7 +65,8 @@
         std::uint32_t pieces = 0;
         piece_wait_ptr wait;
         std::vector<std::string> handles;
-        bool is_used = false; ///< Its followers are done with the results.
+        bool is_used =
+            false; ///< Whether all dependents are done with the results.
         instant done_at{};
     };
 
@@ -69,13 +76,14 @@
     void start_stage(std::size_t index);
     std::vector<std::string> inputs_of(std::size_t index) const;
     std::string zone_of(const catalog::stage& stage) const;
-    /// Takes in what has ended. Returns how the first bad one ended.
+    /// Collects the outcomes of jobs that have ended. Returns the status of the
+    /// first job that did not complete.
     std::optional<decision::job_status> take_ended();
     bool is_fetched(std::size_t index) const;
     void release_used();
     bool is_done() const;
-    /// Returns the stages on the longest way from a stage to the end, itself
-    /// first.
+    /// Returns the stages on the longest path from a stage to the end, with
+    /// that stage first.
     std::vector<std::size_t> way_to_end(std::size_t index) const;
     std::size_t longest_way_left() const;
 
@@ -83,14 +91,16 @@
     const catalog::route& m_route;
     const request_facts& m_facts;
     decision::digest m_content;
-    std::string m_zone; ///< Where the request itself will probably run.
+    std::string
+        m_zone; ///< The zone in which the request itself will probably run.
     duration m_yields;
     instant m_due;
     instant m_expires;
     std::shared_ptr<signal_point> m_changed;
     std::vector<state> m_states;
     bool m_is_aborted = false;
-    bool m_is_late = false; ///< Its first stage was begun late.
+    bool m_is_late =
+        false; ///< Whether a job was already late when it was started.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/target_losses.cpp
+++ b/packages/serving/target_losses.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Ends told at a time, 60 bytes each: 6 KB, behind which answers of callers
-/// wait on a link of 10 Mbit/s for 5 ms.
+/// Target ends sent in one message. At 60 bytes each they take 6 KB, which
+/// delays responses to callers on a link of 10 Mbit/s by 5 ms.
 constexpr std::size_t told_at_once = 100;
 
 constexpr std::size_t worth_a_line = 2;
@@ -29,8 +29,8 @@
         .warn();
 }
 
-/// Says in the log that \a one is known now, where it was seen here or speaks
-/// against a request of which more is known.
+/// Logs \a target_end if this entry saw it itself, or if several ends are known
+/// for the same content.
 void log_end(entry_context& context, const decision::target_end& one,
              std::size_t ends_before, const std::string& request,
              const std::string& from)
--- a/packages/serving/target_losses.hpp
+++ b/packages/serving/target_losses.hpp
@@ -8,36 +8,38 @@
 namespace mangofold::serving
 {
 
-/// Notes that a target ended while \a request was in progress there, unless
-/// that target was leaving, which is no fault of a request.
+/// Records that \a target_end happened while \a request was in progress at the
+/// target, unless the target was leaving, which no request causes.
 void note_target_end(entry_context& context, const decision::target_end& one,
                      const std::string& request);
 
-/// Notes that a target ran \a content to its end.
+/// Records that a target ran \a content to completion.
 void note_served(entry_context& context, const decision::digest& content);
 
-/// Notes that bytes came from \a target on a connection made at \a opened.
+/// Records that \a target sent bytes on a connection opened at \a opened.
 void note_alive(entry_context& context, const decision::target_start& target,
                 instant opened);
 
-/// Takes in what the entry at \a from knows of ends of targets.
+/// Applies the target ends that the entry at \a from has sent.
 void take_ends(entry_context& context, const peer::TargetEnds& message,
                const std::string& from);
 
-/// What one entry tells another, on one connection, of the ends that it knows.
+/// Sends the target ends that this entry knows to one other entry, over one
+/// connection, without repeating any.
 class end_news
 {
 public:
     explicit end_news(entry_context& context) : m_context(context) {}
 
-    /// Notes that a new connection was made, on which nothing was told yet.
+    /// Starts over for a new connection, on which nothing was sent yet.
     void begin_anew() { m_theirs = m_told = 0; }
 
-    /// Notes what the other entry knows, by target_ends::summary().
+    /// Sets the other entry's target_ends::summary(), which shows whether it
+    /// knows the same ends.
     void note_theirs(std::uint64_t summary) { m_theirs = summary; }
 
-    /// Writes what the other entry may lack and was not told on this
-    /// connection. Returns whether there was anything.
+    /// Writes the ends that the other entry may lack and that were not sent on
+    /// this connection. Returns whether there were any.
     bool write(peer::TargetEnds& message);
 
 private:
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -68,11 +68,11 @@
 
 } // namespace
 
-// Stages are late in the whole fleet after some connections were reset.
-// 1. The connection to the gatherer breaks. 2. Its work goes to the next
-// entry, and back to it a moment later. 3. Both send calls to the same
-// targets, and neither knows what room the other has taken.
-TEST_CASE("work stays with an entry whose connection was only reset")
+// Guards against late stages in the whole fleet after connections were reset.
+// If the jobs of the batching entry move to the next entry and back a moment
+// later, both entries send calls to the same targets, and neither knows how
+// much memory the other has reserved there.
+TEST_CASE("jobs stay with an entry whose connection was only reset")
 {
     link_fixture one;
     one.time.advance(600ms);
@@ -88,8 +88,8 @@
 namespace
 {
 
-/// An entry that answers the first question, and then sends one byte of a
-/// long frame at a time.
+/// An entry that answers the first ping, and then sends one byte of a large
+/// frame at a time.
 struct slow_entry
 {
     explicit slow_entry(asio::io_context& loop)
@@ -102,7 +102,7 @@
     {
         error_code fault;
         co_await acceptor.async_accept(socket, into(fault));
-        // An empty pong: field 3 of two bytes, without a length of its own.
+        // An empty pong: field 3 of two bytes, with a length of zero.
         send(std::string("\0\0\0\2\x1a\0", 6));
         send(std::string("\0\1\0\0", 4));
     }
@@ -118,11 +118,11 @@
 
 } // namespace
 
-// Seen: the entry that gathers is lost and found by turns while a large
-// catalog is under way over a narrow link, and its work moves each time.
-// 1. It sends something long. 2. Bytes come all the time, but no whole frame.
-// 3. Only whole frames counted as a sign of life.
-TEST_CASE("an entry whose bytes still come is not silent")
+// Guards against a batching entry that is lost and found in turns, with its
+// jobs moving each time, while it sends a large catalog over a narrow link.
+// Bytes arrive all the time but no whole frame, and only whole frames used to
+// count as an answer.
+TEST_CASE("an entry that still sends bytes counts as alive")
 {
     test::serving_fixture entry;
     quiet_listener listener;
@@ -151,7 +151,7 @@
     CHECK(listener.losses == 1);
 }
 
-TEST_CASE("the work of an entry that is gone is taken back at once")
+TEST_CASE("jobs of an unreachable entry are taken back at once")
 {
     link_fixture one;
     one.time.advance(600ms);
@@ -166,8 +166,8 @@
 namespace
 {
 
-/// A place that answers nothing to those who connect, as an instance without
-/// power does, since its queue of connections is full; until it wakes.
+/// An instance without power: its queue of connections is full, so that it does
+/// not answer attempts to connect until wake().
 struct silent_place
 {
     explicit silent_place(asio::io_context& its_loop)
@@ -213,11 +213,11 @@
 
 } // namespace
 
-// Callers of a fleet that starts at once wait half a second more.
-// 1. An entry connects to one that has no power yet; nothing comes back. 2. The
-// other one is up a moment later. 3. The first try hung on for half a second;
-// the system's own repetition comes after a second.
-TEST_CASE("a first try to connect is given up soon and made again")
+// Guards against callers waiting half a second longer when a fleet starts at
+// once. An entry connects to an instance that has no power yet and gets no
+// answer; the instance is up a moment later. The first attempt used to last
+// half a second, and the kernel repeats its own only after a second.
+TEST_CASE("the first attempt to connect is aborted early and repeated")
 {
     test::serving_fixture entry;
     quiet_listener listener;
@@ -234,7 +234,7 @@
         entry.time.advance(gone);
         entry.settle();
     }
-    constexpr int before_repetition = 400; // Steps of a millisecond.
+    constexpr int before_repetition = 400; // In milliseconds.
     for (int step = 0; step < before_repetition && !other.is_found; ++step)
         entry.loop.run_for(1ms);
     CHECK(other.is_found);
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// An entry with version 1 among others that hold version 9.
+/// An entry with version 1 of the catalog among others that hold version 9.
 struct behind_fixture : test::serving_fixture
 {
     behind_fixture()
@@ -26,7 +26,8 @@
         {
             one = std::make_unique<test::played_entry>(loop);
             one->holding.set_catalog_version(9);
-            one->holding.set_cores(1); // It may gather, and is asked often.
+            one->holding.set_cores(
+                1); // It may be elected, and is pinged often.
             mesh.add(one->address());
         }
         start(loop, mesh.run());
@@ -57,14 +58,14 @@
 
 } // namespace
 
-// Seen: a route that was published 3.3 s before is not found at entries with
-// a narrow link; all that they do is late for many seconds.
-// 1. A large catalog is published. 2. Such an entry hears of it from all the
-// others and asks one of them; the copy takes longer than a quarter of a
-// second. 3. It asked the next one then, and so on: each copy slowed all the
-// others, until the link carried little else. Proved by the links' figures
-// (full for 17 s, the processor idle).
-TEST_CASE("an entry that is behind does not ask for copy after copy")
+// Guards against a newly published route that entries behind a narrow link
+// still don't know 3.3 s later, with all of their requests late for many
+// seconds. Such an entry hears of the large catalog from all other entries and
+// requests a copy from one of them; the copy takes longer than a quarter of a
+// second. It used to request another copy from the next entry then, and so on.
+// Each copy slowed down the others until the link carried little else: the link
+// was full for 17 s with an idle processor.
+TEST_CASE("an entry with an old catalog does not request copy after copy")
 {
     behind_fixture entry;
     entry.pass(4s);
@@ -72,16 +73,18 @@
     CHECK(entry.asked() <= 4);
 }
 
-// The same with a holder that is gone: the next one must be asked.
-TEST_CASE("an entry that is behind asks another holder after a while")
+// The same with a holder that is gone: the entry must request the catalog from
+// the next one.
+TEST_CASE("an entry with an old catalog requests it from another holder later")
 {
     behind_fixture entry;
     entry.pass(4s);
     CHECK(entry.asked() >= 2);
 }
 
-// An entry that reads less strictly passes on what it took for a target.
-TEST_CASE("what another entry tells of a target is looked at too")
+// Guards against an invalid target address that is passed on by an entry with
+// less strict validation.
+TEST_CASE("targets received from another entry are validated")
 {
     decision::target_directory directory;
     peer::Targets told;
--- a/tests/serving/peer_server_test.cpp
+++ b/tests/serving/peer_server_test.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// An entry with a catalog that no kernel takes whole, and others that ask
-/// for it.
+/// An entry with a catalog too large for the kernel's socket buffers, and other
+/// entries that request it.
 struct giving_entry : test::serving_fixture
 {
     giving_entry() : text(std::make_shared<const std::string>(64U << 20U, 'x'))
@@ -33,7 +33,7 @@
         return acceptor.local_endpoint().port();
     }
 
-    /// Returns a connection of another entry, ...
+    /// Opens a connection as another entry does.
     frame_socket_ptr connect()
     {
         tcp::socket socket(loop);
@@ -42,7 +42,7 @@
         return std::make_shared<frame_socket>(std::move(socket));
     }
 
-    /// ... on which it asks for the catalog.
+    /// Requests the catalog on the connection \a other.
     void ask(frame_socket& other)
     {
         peer::Frame frame;
@@ -51,7 +51,7 @@
         other.send(frame);
     }
 
-    /// Returns the first frame that comes to \a other.
+    /// Returns the first frame that is received on \a other.
     peer::Frame first_frame(const frame_socket_ptr& other)
     {
         std::optional<peer::Frame> came;
@@ -72,10 +72,11 @@
 
 } // namespace
 
-// Callers of an entry wait for seconds, with its processor idle.
-// 1. All entries start at once. 2. Most ask the first one that holds the list
-// or the configuration. 3. It gave them all a copy at once; its link was full.
-TEST_CASE("an entry gives two copies at a time and sends others elsewhere")
+// Guards against callers that wait for seconds while the processor of their
+// entry is idle. When all entries start at once, most of them request a copy
+// from the first one that holds the target list or the configuration. It used
+// to send all copies at once, which filled its link.
+TEST_CASE("an entry sends two copies at a time and declines other requests")
 {
     giving_entry entry;
     const auto first = entry.connect();
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -22,8 +22,8 @@
     return request.substr(at, request.find('\r', at) - at);
 }
 
-/// An entry before targets that end whenever they begin a request to a path
-/// with "poison" in it; another one is listed in their place.
+/// An entry with targets that crash when they start a request with "poison" in
+/// its path. Each crashed target is replaced by a new one.
 struct poisoned_entry : serving_fixture
 {
     explicit poisoned_entry(std::string its_service)
@@ -53,7 +53,8 @@
         return {"", end::reset};
     }
 
-    /// Asks for \a path as another caller's sending would, a while later.
+    /// Sends a request to \a path a while later, under a new id, as a caller
+    /// that repeats its request does.
     std::string ask_again(const std::string& path)
     {
         time.advance(500ms);
@@ -66,7 +67,7 @@
     std::size_t asked = 0;
 };
 
-/// An entry before stage targets that end whenever a call holds a piece of a
+/// An entry with stage targets that crash when a call holds a piece of a
 /// request whose id begins with "poison".
 struct poisoned_stage : serving_fixture
 {
@@ -111,7 +112,7 @@
         return {answer("", results), end::keep};
     }
 
-    std::size_t listed = 1; // The target of "events" is numbered too.
+    std::size_t listed = 1; // Counts the target of "events".
     std::size_t ended = 0;
     std::size_t made = 0;
 };
@@ -120,14 +121,14 @@
 
 } // namespace
 
-// Callers of a whole service find its targets gone, one after the other: 16
-// engines of 18 ended in twelve seconds, with all that ran on them.
-// 1. One request ends the target that begins it; its caller gets a 502. 2. It
-// is sent again, under a new id, and ends the next one. 3. The entry treats it
-// as if it had never come. That the record of each end named one route and
-// never two ids alike, and that the digest of path, body and account was the
-// same each time, told this from targets that ended by themselves.
-TEST_CASE("a request that ends its targets is kept from the others")
+// Guards against one request that crashes all targets of a service, one after
+// the other: it ended 16 of 18 engines within twelve seconds, with everything
+// that ran on them. The request crashes its target and the caller gets a 502.
+// The caller repeats it under a new id, and the entry, which does not recognize
+// it, sends it to the next target. All ends had the same route, different
+// request ids, and the same digest of path, body and account, which tells such
+// a request from targets that crash by themselves.
+TEST_CASE("a request that crashes its targets is quarantined")
 {
     for (const std::string path : {"/once/poison", "/again/poison"})
     {
@@ -145,9 +146,9 @@
     }
 }
 
-// The same for a stream, which is sent on to the next engine by itself where
-// it may go on there.
-TEST_CASE("a stream that ends its engines is kept from the others")
+// The same for a stream, which the entry itself resumes at the next engine
+// where the service allows it.
+TEST_CASE("a stream that crashes its engines is quarantined")
 {
     for (const std::string path : {"/once-events/poison", "/events/poison"})
     {
@@ -159,11 +160,11 @@
     }
 }
 
-// Callers lose their requests to one that they never heard of.
-// 1. Its pieces share a call with those of seven others. 2. The target ends.
-// 3. All eight are made again, in one call, since they are due together, and
-// end the next one, until all have lost as many.
-TEST_CASE("a request that ends stage targets takes no others with it")
+// Guards against requests that fail because of one they share a call with. The
+// pieces of a request that crashes its target are batched with pieces of seven
+// others. All eight are executed again in one call, since they are due
+// together, and crash the next target, until all have lost as many calls.
+TEST_CASE("a request that crashes stage targets does not fail other requests")
 {
     poisoned_stage entry;
     std::vector<std::shared_ptr<serving_fixture::caller>> callers;
@@ -189,7 +190,7 @@
         CAPTURE(one->received);
         CHECK(has(one->received, "Id: poison1") != has(one->received, " 200 "));
     }
-    // It is known now, whatever the id.
+    // The content is quarantined now, whatever the request id.
     const std::string again =
         entry.ask(request("/staged/poison1", "poison2", "Pieces: 11\r\n"));
     CHECK(has(again, " 503 "));
