--- a/bench/ablation/mechanisms.py
+++ b/bench/ablation/mechanisms.py
@@ -22,7 +22,7 @@
      "    return static_cast<double>(count) >=",
      "    return m_own.empty() && static_cast<double>(count) >="),
     ("zone of results", STAGES,
-     "    job.zone = zone_of(stage);", "    job.zone = {};"),
+     "    job.zone = preferred_zone(stage);", "    job.zone = {};"),
     ("wait for a target of the zone", PLANNER,
      "        if (waits_for_zone(job, target, now))",
      "        if (waits_for_zone(job, target, now) && job.zone.empty())"),
--- a/packages/serving/elected_maker.cpp
+++ b/packages/serving/elected_maker.cpp
@@ -7,16 +7,16 @@
 namespace mangofold::serving
 {
 
-elected_maker::elected_maker(entry_context& context, gatherer& own,
-                             peer_mesh& others)
-    : m_context(context), m_own(own), m_others(others)
+elected_maker::elected_maker(entry_context& context, gatherer& batcher,
+                             peer_mesh& mesh)
+    : m_context(context), m_batcher(batcher), m_mesh(mesh)
 {
-    m_others.set_work_sink(
+    m_mesh.set_work_sink(
         [this](std::vector<orphaned_job> jobs)
         {
             m_context.metrics.count({"jobs_taken_back", ""}) += jobs.size();
-            for (orphaned_job& one : jobs)
-                make(one.service, std::move(one.job), std::move(one.wait));
+            for (orphaned_job& job : jobs)
+                make(job.service, std::move(job.job), std::move(job.pending));
         });
 }
 
@@ -25,59 +25,60 @@
     // A tenth of a call's fixed time.
     constexpr duration tick = std::chrono::milliseconds(20);
     loop_timer timer(m_context.loop);
-    while (!m_others.is_settled())
+    while (!m_mesh.is_settled())
     {
         error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
     }
-    m_is_open = true;
-    hand_out();
+    m_has_settled = true;
+    submit_held_jobs();
 }
 
-void elected_maker::hand_out()
+void elected_maker::submit_held_jobs()
 {
-    if (m_kept_back.empty())
+    if (m_held_jobs.empty())
         return;
-    runtime::event("stages_begin").with("jobs", m_kept_back.size()).info();
-    for (orphaned_job& one : std::exchange(m_kept_back, {}))
-        if (!one.wait->is_dropped())
-            make(one.service, std::move(one.job), std::move(one.wait));
+    runtime::event("stages_begin").with("jobs", m_held_jobs.size()).info();
+    for (orphaned_job& job : std::exchange(m_held_jobs, {}))
+        if (!job.pending->is_dropped())
+            make(job.service, std::move(job.job), std::move(job.pending));
 }
 
 void elected_maker::make(const std::string& service, decision::stage_job job,
-                         piece_wait_ptr wait)
+                         piece_wait_ptr pending)
 {
-    if (!m_is_open)
-        m_kept_back.push_back({service, std::move(job), std::move(wait)});
-    else if (peer_link* other = m_others.gathering(service))
-        other->ask(service, std::move(job), std::move(wait));
+    if (!m_has_settled)
+        m_held_jobs.push_back({service, std::move(job), std::move(pending)});
+    else if (peer_link* link = m_mesh.gathering(service))
+        link->ask(service, std::move(job), std::move(pending));
     else
-        make_here(service, std::move(job), std::move(wait));
+        execute_locally(service, std::move(job), std::move(pending));
 }
 
-void elected_maker::make_here(const std::string& service,
-                              decision::stage_job job, piece_wait_ptr wait)
+void elected_maker::execute_locally(const std::string& service,
+                                    decision::stage_job job,
+                                    piece_wait_ptr pending)
 {
-    m_own.add(
+    m_batcher.add(
         service, std::move(job),
-        [wait](piece_outcome value)
+        [pending](piece_outcome outcome)
         {
-            const bool is_wanted = !wait->is_dropped();
-            wait->set_outcome(std::move(value));
+            const bool is_wanted = !pending->is_dropped();
+            pending->set_outcome(std::move(outcome));
             return is_wanted;
         },
-        [wait] { return !wait->is_dropped(); },
-        [wait] { wait->set_fetched(); });
+        [pending] { return !pending->is_dropped(); },
+        [pending] { pending->set_fetched(); });
 }
 
 void elected_maker::release(const std::string& service,
                             std::vector<std::string> handles)
 {
-    if (peer_link* other = m_others.gathering(service))
-        other->release(service, handles);
+    if (peer_link* link = m_mesh.gathering(service))
+        link->release(service, handles);
     else
-        m_own.release(service, handles);
+        m_batcher.release(service, handles);
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/elected_maker.hpp
+++ b/packages/serving/elected_maker.hpp
@@ -13,27 +13,28 @@
 class elected_maker : public piece_maker
 {
 public:
-    elected_maker(entry_context& context, gatherer& own, peer_mesh& others);
+    elected_maker(entry_context& context, gatherer& batcher, peer_mesh& mesh);
 
     /// Submits the jobs that were held back until the batching entry of their
     /// service is known.
     awaitable<void> run();
 
     void make(const std::string& service, decision::stage_job job,
-              piece_wait_ptr wait) override;
+              piece_wait_ptr pending) override;
     void release(const std::string& service,
                  std::vector<std::string> handles) override;
 
 private:
-    void hand_out();
-    void make_here(const std::string& service, decision::stage_job job,
-                   piece_wait_ptr wait);
+    void submit_held_jobs();
+    void execute_locally(const std::string& service, decision::stage_job job,
+                         piece_wait_ptr pending);
 
     entry_context& m_context;
-    gatherer& m_own;
-    peer_mesh& m_others;
-    std::vector<orphaned_job> m_kept_back;
-    bool m_is_open = false; ///< Whether the batching entries were ever known.
+    gatherer& m_batcher;
+    peer_mesh& m_mesh;
+    std::vector<orphaned_job> m_held_jobs;
+    /// Whether the batching entries were ever known.
+    bool m_has_settled = false;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/gatherer.cpp
+++ b/packages/serving/gatherer.cpp
@@ -17,12 +17,12 @@
 /// A call is aborted after its expected time multiplied by this factor, plus
 /// this margin: its target is unreachable. A target that only became slow has a
 /// higher expected time by its next call.
-constexpr int most_times = 3;
-constexpr duration most_more = std::chrono::milliseconds(300);
+constexpr int timeout_factor = 3;
+constexpr duration timeout_margin = std::chrono::milliseconds(300);
 
 /// The longest time that a target takes to fetch the inputs of a call: a fixed
 /// part, plus this multiple of the transfer time of the bytes.
-constexpr duration least_fetch = std::chrono::milliseconds(40);
+constexpr duration min_fetch_time = std::chrono::milliseconds(40);
 constexpr double fetch_margin = 4;
 
 constexpr duration summary_interval = std::chrono::seconds(1);
@@ -31,82 +31,89 @@
 
 gatherer::gatherer(entry_context& context) : m_context(context)
 {
-    m_outlook.remaining_time =
-        [this](const decision::stage_job& job, duration call, bool is_late)
-    { return foresee(job, call, is_late).time_after; };
-    m_outlook.may_start = [this](const decision::stage_job& job, duration call)
-    { return foresee(job, call, job.is_late).may_begin; };
+    m_estimates.remaining_time =
+        [this](const decision::stage_job& job, duration call_time, bool is_late)
+    { return forecast_for(job, call_time, is_late).remaining_time; };
+    m_estimates.may_start =
+        [this](const decision::stage_job& job, duration call_time)
+    { return forecast_for(job, call_time, job.is_late).may_start; };
 }
 
-gatherer::line* gatherer::line_of(const std::string& service)
+gatherer::service_queue* gatherer::queue_of(const std::string& service)
 {
-    const auto* known =
+    const auto* found =
         m_context.catalog ? m_context.catalog->find_service(service) : nullptr;
-    if (known == nullptr || !known->calls)
+    if (found == nullptr || !found->calls)
         return nullptr;
-    auto& one = m_lines[service];
-    if (!one)
-        one = std::make_unique<line>(*known->calls);
-    one->planner.set_shape(*known->calls);
-    update_targets(service, *one);
-    return one.get();
+    auto& queue = m_queues[service];
+    if (!queue)
+        queue = std::make_unique<service_queue>(*found->calls);
+    queue->planner.set_shape(*found->calls);
+    update_targets(service, *queue);
+    return queue.get();
 }
 
-void gatherer::update_targets(const std::string& service, line& one)
+void gatherer::update_targets(const std::string& service, service_queue& queue)
 {
-    if (one.seen_changes == m_context.directory.changes())
+    if (queue.directory_changes == m_context.directory.changes())
         return;
-    one.seen_changes = m_context.directory.changes();
+    queue.directory_changes = m_context.directory.changes();
     std::map<decision::target_start, std::string> zones;
     for (const auto* target : m_context.directory.serving(service))
         zones[target->start] = target->zone;
-    one.planner.set_targets(zones);
+    queue.planner.set_targets(zones);
 }
 
 std::size_t gatherer::jobs() const
 {
     std::size_t sum = 0;
-    for (const auto& [service, one] : m_lines)
-        sum += one->asked.size();
+    for (const auto& [service, queue] : m_queues)
+        sum += queue->jobs.size();
     return sum;
 }
 
 void gatherer::add(const std::string& service, decision::stage_job job,
-                   outcome_sink done, interest wanted, fetch_notice fetched)
+                   outcome_callback done, wanted_check is_wanted,
+                   fetched_callback fetched)
 {
-    line* one = line_of(service);
-    if (one == nullptr)
+    service_queue* queue = queue_of(service);
+    if (queue == nullptr)
     {
         done({decision::job_status::failed, {}, false});
         return;
     }
     job.number = m_next_number++;
     job.queued_at = m_context.now();
-    one->asked[job.number] = {
-        std::move(done), std::move(wanted), std::move(fetched), false, 0, {}};
-    one->used_at = m_context.now();
-    one->planner.add(std::move(job));
-    pump(service, *one);
+    queue->jobs[job.number] = {std::move(done),
+                               std::move(is_wanted),
+                               std::move(fetched),
+                               false,
+                               0,
+                               {}};
+    queue->last_job_at = m_context.now();
+    queue->planner.add(std::move(job));
+    start_calls(service, *queue);
 }
 
-void gatherer::pump(const std::string& service, line& one)
+void gatherer::start_calls(const std::string& service, service_queue& queue)
 {
-    update_targets(service, one);
-    while (auto plan = one.planner.next_call(m_context.now(), m_outlook))
+    update_targets(service, queue);
+    while (auto plan = queue.planner.next_call(m_context.now(), m_estimates))
     {
-        note_begun(one, *plan);
-        start(m_context.loop, call(service, std::move(*plan)));
+        note_started_jobs(queue, *plan);
+        start(m_context.loop, run_call(service, std::move(*plan)));
     }
 }
 
 std::vector<piece_order>
-gatherer::orders(const line& one, const decision::planned_call& plan) const
+gatherer::piece_orders(const service_queue& queue,
+                       const decision::planned_call& plan) const
 {
     std::vector<piece_order> found;
     const instant now = m_context.now();
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        const decision::stage_job* job = one.planner.find(ref.job);
+        const decision::stage_job* job = queue.planner.find(ref.job);
         if (job == nullptr)
             continue;
         found.push_back({job->request, job->stage, ref.piece,
@@ -118,71 +125,77 @@
 // Targets fetch inputs at the start of a call; after that the inputs only take
 // up memory that other results need. They are released as soon as they must
 // have arrived, a call's time before the call ends.
-duration gatherer::fetch_time(const line& one,
+duration gatherer::fetch_time(const service_queue& queue,
                               const decision::planned_call& plan) const
 {
     double bytes = 0;
     for (const decision::piece_ref& ref : plan.pieces)
-        if (const auto* job = one.planner.find(ref.job))
+        if (const auto* job = queue.planner.find(ref.job))
             bytes += static_cast<double>(job->input_bytes);
     const double bytes_per_ns =
-        std::max(one.planner.shape().link_bytes_per_s, 1.0) / 1e9;
-    return least_fetch + duration(static_cast<duration::rep>(
-                             fetch_margin * bytes / bytes_per_ns));
+        std::max(queue.planner.shape().link_bytes_per_s, 1.0) / 1e9;
+    return min_fetch_time + duration(static_cast<duration::rep>(
+                                fetch_margin * bytes / bytes_per_ns));
 }
 
-awaitable<void> gatherer::note_fetched(std::string service,
-                                       decision::planned_call plan,
-                                       duration after)
+awaitable<void> gatherer::report_fetched_inputs(std::string service,
+                                                decision::planned_call plan,
+                                                duration after)
 {
     loop_timer timer(m_context.loop, after);
     error_code ignored; // No other code cancels this timer.
     co_await timer.async_wait(into(ignored));
-    line& one = *m_lines.at(service);
+    service_queue& queue = *m_queues.at(service);
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        const auto asked = one.asked.find(ref.job);
-        if (asked == one.asked.end() || asked->second.is_fetched ||
-            one.planner.has_waiting_pieces(ref.job))
+        const auto accepted = queue.jobs.find(ref.job);
+        if (accepted == queue.jobs.end() ||
+            accepted->second.has_fetched_inputs ||
+            queue.planner.has_waiting_pieces(ref.job))
             continue;
-        asked->second.is_fetched = true;
-        asked->second.fetched();
+        accepted->second.has_fetched_inputs = true;
+        accepted->second.fetched();
     }
 }
 
-awaitable<void> gatherer::call(std::string service, decision::planned_call plan)
+awaitable<void> gatherer::run_call(std::string service,
+                                   decision::planned_call plan)
 {
-    line& one = *m_lines.at(service);
+    service_queue& queue = *m_queues.at(service);
     const auto* target = m_context.directory.find(plan.target);
     if (target == nullptr)
     {
-        one.planner.note_call_failed(plan, false, m_context.now());
-        lose(one, plan);
+        queue.planner.note_call_failed(plan, false, m_context.now());
+        handle_lost_call(queue, plan);
         co_return;
     }
     const instant began = m_context.now();
-    const auto sent = std::make_shared<target_call>(
+    const auto sent_call = std::make_shared<target_call>(
         m_context.links, m_context.speech,
         call_target{target->start, runtime::address::parse(target->address)});
     const http_request request =
-        m_context.speech.make_pieces(plan.target.id, orders(one, plan));
-    const duration most = plan.expected_time * most_times + most_more;
-    start(m_context.loop, note_fetched(service, plan, fetch_time(one, plan)));
-    auto got = co_await sent->begin(request, {}, most);
-    while (got == target_call::state::good && !sent->is_complete())
-        got = co_await sent->more(most);
+        m_context.speech.make_pieces(plan.target.id, piece_orders(queue, plan));
+    const duration timeout =
+        plan.expected_time * timeout_factor + timeout_margin;
+    start(m_context.loop,
+          report_fetched_inputs(service, plan, fetch_time(queue, plan)));
+    auto state = co_await sent_call->begin(request, {}, timeout);
+    while (state == target_call::state::good && !sent_call->is_complete())
+        state = co_await sent_call->more(timeout);
     const instant now = m_context.now();
     const bool is_full =
-        got == target_call::state::good && sent->facts().has_not_run;
+        state == target_call::state::good && sent_call->facts().has_not_run;
     constexpr unsigned ok = 200;
-    if (got == target_call::state::good && sent->head().result_int() == ok)
+    if (state == target_call::state::good &&
+        sent_call->head().result_int() == ok)
     {
-        one.planner.note_call_answered(plan, now - began, now);
-        note_alive(m_context, plan.target, sent->opened_at());
+        queue.planner.note_call_answered(plan, now - began, now);
+        note_alive(m_context, plan.target, sent_call->opened_at());
         try
         {
-            take_results(one, plan,
-                         m_context.speech.piece_results(sent->take_body()));
+            handle_results(
+                queue, plan,
+                m_context.speech.piece_results(sent_call->take_body()));
         }
         catch (const facts_error& fault)
         {
@@ -190,22 +203,22 @@
                 .with("target", plan.target.id)
                 .with("fault", fault.what())
                 .warn();
-            lose(one, plan);
+            handle_lost_call(queue, plan);
         }
-        sent->finish();
+        sent_call->finish();
     }
     else
     {
-        const bool is_unsent = got == target_call::state::not_sent;
+        const bool is_unsent = state == target_call::state::not_sent;
         if (is_full || is_unsent)
-            one.planner.note_call_failed(plan, is_full, now);
+            queue.planner.note_call_failed(plan, is_full, now);
         else
-            one.planner.note_call_unanswered(plan, now);
+            queue.planner.note_call_unanswered(plan, now);
         m_context.count("calls_failed", "why", is_full ? "full" : "lost");
-        if (got == target_call::state::broken)
+        if (state == target_call::state::broken)
         {
-            note_target_ends(one, plan, began);
-            one.planner.note_suspected_crash(plan);
+            note_target_ends(queue, plan, began);
+            queue.planner.note_suspected_crash(plan);
         }
         if (!is_full && !is_unsent)
             runtime::event("call_lost")
@@ -214,50 +227,50 @@
                 .with("pieces", plan.pieces.size())
                 .with("after_ms", whole_milliseconds(now - began))
                 .warn();
-        is_full ? put_back(one, plan) : lose(one, plan);
-        is_full ? sent->finish() : sent->abort();
+        is_full ? requeue(queue, plan) : handle_lost_call(queue, plan);
+        is_full ? sent_call->finish() : sent_call->abort();
     }
-    one.pieces += plan.pieces.size();
-    ++one.calls;
-    end_finished(service, one);
-    end_unwanted(service, one);
-    pump(service, one);
+    queue.pieces += plan.pieces.size();
+    ++queue.calls;
+    end_finished_jobs(service, queue);
+    end_unwanted_jobs(service, queue);
+    start_calls(service, queue);
 }
 
 void gatherer::release(const std::string& service,
                        const std::vector<std::string>& handles)
 {
-    line* one = line_of(service);
-    if (one == nullptr)
+    service_queue* queue = queue_of(service);
+    if (queue == nullptr)
         return;
     for (const std::string& handle : handles)
-        let_go(*one, handle);
+        queue_release(*queue, handle);
 }
 
 awaitable<void> gatherer::send_releases(std::string service)
 {
-    line& one = *m_lines.at(service);
-    const auto batches = std::exchange(one.to_release, {});
-    for (const auto& [where, handles] : batches)
+    service_queue& queue = *m_queues.at(service);
+    const auto batches = std::exchange(queue.pending_releases, {});
+    for (const auto& [address, handles] : batches)
     {
         decision::target_start maker;
         for (const auto* target : m_context.directory.serving(service))
-            if (target->address == where)
+            if (target->address == address)
                 maker = target->start;
         if (maker.id.empty())
             continue;
-        const auto sent = std::make_shared<target_call>(
+        const auto sent_call = std::make_shared<target_call>(
             m_context.links, m_context.speech,
-            call_target{maker, runtime::address::parse(where)});
-        auto got = co_await sent->begin(
-            m_context.speech.release_results(handles), {}, most_more);
-        while (got == target_call::state::good && !sent->is_complete())
-            got = co_await sent->more(most_more);
-        if (got != target_call::state::good)
+            call_target{maker, runtime::address::parse(address)});
+        auto state = co_await sent_call->begin(
+            m_context.speech.release_results(handles), {}, timeout_margin);
+        while (state == target_call::state::good && !sent_call->is_complete())
+            state = co_await sent_call->more(timeout_margin);
+        if (state != target_call::state::good)
             m_context.count("releases", "how", "lost");
         for (const std::string& handle : handles)
-            one.planner.note_released(maker, handle);
-        sent->finish();
+            queue.planner.note_released(maker, handle);
+        sent_call->finish();
     }
 }
 
@@ -269,23 +282,23 @@
         error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
-        for (const auto& [service, said] : waits())
-            note_wait(service, said);
-        for (auto& [service, one] : m_lines)
+        for (const auto& [service, times] : waits())
+            note_wait_times(service, times);
+        for (auto& [service, queue] : m_queues)
         {
-            if (!one->asked.empty())
+            if (!queue->jobs.empty())
             {
-                end_unwanted(service, *one);
-                pump(service, *one);
+                end_unwanted_jobs(service, *queue);
+                start_calls(service, *queue);
             }
-            if (!one->to_release.empty())
+            if (!queue->pending_releases.empty())
                 start(m_context.loop, send_releases(service));
         }
         if (m_context.now() < m_summarized_at + summary_interval)
             continue;
         m_summarized_at = m_context.now();
-        for (auto& [service, one] : m_lines)
-            summarize(service, *one);
+        for (auto& [service, queue] : m_queues)
+            summarize(service, *queue);
     }
 }
 
--- a/packages/serving/gatherer.hpp
+++ b/packages/serving/gatherer.hpp
@@ -22,17 +22,18 @@
 public:
     /// Receives the outcome of a job. Returns whether the results are still
     /// wanted.
-    using outcome_sink = std::function<bool(piece_outcome)>;
+    using outcome_callback = std::function<bool(piece_outcome)>;
     /// Returns whether a request still waits for the job.
-    using interest = std::function<bool()>;
+    using wanted_check = std::function<bool()>;
     /// Called once the targets no longer need the inputs of the job.
-    using fetch_notice = std::function<void()>;
+    using fetched_callback = std::function<void()>;
 
     explicit gatherer(entry_context& context);
 
     /// Executes \a job. Exactly one outcome is passed to \a done.
     void add(const std::string& service, decision::stage_job job,
-             outcome_sink done, interest wanted, fetch_notice fetched);
+             outcome_callback done, wanted_check is_wanted,
+             fetched_callback fetched);
 
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
@@ -44,89 +45,101 @@
     std::map<std::string, decision::service_wait_times> waits() const;
 
     /// Notes the wait times of a service batched at another entry.
-    void note_wait(const std::string& service,
-                   const decision::service_wait_times& said);
+    void note_wait_times(const std::string& service,
+                         const decision::service_wait_times& times);
 
     /// Runs the periodic work. Never returns.
     awaitable<void> run();
 
 private:
-    struct asked_job
+    struct accepted_job
     {
-        outcome_sink done;
-        interest wanted;
-        fetch_notice fetched;
-        bool is_fetched = false;
-        std::uint32_t losses = 0; ///< Lost calls that held pieces of the job.
-        std::optional<decision::job_status>
-            given_up; ///< Why a target can't execute the job.
+        outcome_callback done;
+        wanted_check is_wanted;
+        fetched_callback fetched;
+        bool has_fetched_inputs = false;
+        /// Lost calls that held pieces of the job.
+        std::uint32_t lost_calls = 0;
+        /// Why a target can't execute the job.
+        std::optional<decision::job_status> failure;
     };
 
-    struct line
+    struct service_queue
     {
-        explicit line(const catalog::call_shape& shape) : planner(shape) {}
+        explicit service_queue(const catalog::call_shape& shape)
+            : planner(shape)
+        {
+        }
         decision::call_planner planner;
-        std::map<std::uint64_t, asked_job> asked;
-        std::map<std::string, std::vector<std::string>> to_release;
-        std::uint64_t seen_changes = 0;
-        instant used_at{};
+        std::map<std::uint64_t, accepted_job> jobs;
+        std::map<std::string, std::vector<std::string>> pending_releases;
+        std::uint64_t directory_changes = 0;
+        instant last_job_at{};
         std::uint64_t calls = 0;  ///< Since the last summary.
         std::uint64_t pieces = 0; ///< In the calls counted above.
-        std::uint64_t no_room = 0;
-        std::uint64_t late = 0;
+        std::uint64_t memory_refusals = 0;
+        std::uint64_t expired_jobs = 0;
     };
 
     /// The forecast for requests whose later stages use the same services. It
     /// is needed for every waiting request, and many requests share one.
-    struct foresight
+    struct downstream_forecast
     {
         std::vector<std::string> services;
-        duration call{};
-        bool is_late =
-            false; ///< Whether these requests will miss their deadlines.
-        duration time_after{};
-        bool may_begin = true;
+        duration call_time{};
+        /// Whether these requests will miss their deadlines.
+        bool is_late = false;
+        duration remaining_time{};
+        bool may_start = true;
     };
 
-    const foresight& foresee(const decision::stage_job& job, duration call,
-                             bool is_late);
-    foresight look_ahead(const decision::stage_job& job, duration call,
-                         bool is_late) const;
-    const catalog::call_shape* shape_of(const std::string& service) const;
-    void note_begun(const line& one, const decision::planned_call& plan);
-    line* line_of(const std::string& service);
-    void update_targets(const std::string& service, line& one);
-    void pump(const std::string& service, line& one);
-    awaitable<void> call(std::string service, decision::planned_call plan);
-    awaitable<void> note_fetched(std::string service,
-                                 decision::planned_call plan, duration after);
-    duration fetch_time(const line& one,
+    const downstream_forecast& forecast_for(const decision::stage_job& job,
+                                            duration call_time, bool is_late);
+    downstream_forecast compute_forecast(const decision::stage_job& job,
+                                         duration call_time,
+                                         bool is_late) const;
+    const catalog::call_shape* call_shape_of(const std::string& service) const;
+    void note_started_jobs(const service_queue& queue,
+                           const decision::planned_call& plan);
+    service_queue* queue_of(const std::string& service);
+    void update_targets(const std::string& service, service_queue& queue);
+    void start_calls(const std::string& service, service_queue& queue);
+    awaitable<void> run_call(std::string service, decision::planned_call plan);
+    awaitable<void> report_fetched_inputs(std::string service,
+                                          decision::planned_call plan,
+                                          duration after);
+    duration fetch_time(const service_queue& queue,
                         const decision::planned_call& plan) const;
-    void take_results(line& one, const decision::planned_call& plan,
-                      const std::vector<piece_result>& results);
-    static void give_up(line& one, const decision::piece_ref& piece,
-                        decision::job_status end);
-    void let_go(line& one, const std::string& handle);
-    static void lose(line& one, const decision::planned_call& plan);
-    void note_target_ends(const line& one, const decision::planned_call& plan,
-                          instant began);
-    static void put_back(line& one, const decision::planned_call& plan);
-    void end_job(const std::string& service, line& one, std::uint64_t number,
-                 decision::job_status end, std::vector<std::string> handles,
-                 bool was_late = false);
-    void end_finished(const std::string& service, line& one);
-    void end_unwanted(const std::string& service, line& one);
-    std::vector<piece_order> orders(const line& one,
-                                    const decision::planned_call& plan) const;
+    void handle_results(service_queue& queue,
+                        const decision::planned_call& plan,
+                        const std::vector<piece_result>& results);
+    static void mark_failed(service_queue& queue,
+                            const decision::piece_ref& piece,
+                            decision::job_status end);
+    void queue_release(service_queue& queue, const std::string& handle);
+    static void handle_lost_call(service_queue& queue,
+                                 const decision::planned_call& plan);
+    void note_target_ends(const service_queue& queue,
+                          const decision::planned_call& plan, instant began);
+    static void requeue(service_queue& queue,
+                        const decision::planned_call& plan);
+    void end_job(const std::string& service, service_queue& queue,
+                 std::uint64_t number, decision::job_status end,
+                 std::vector<std::string> handles, bool was_late = false);
+    void end_finished_jobs(const std::string& service, service_queue& queue);
+    void end_unwanted_jobs(const std::string& service, service_queue& queue);
+    std::vector<piece_order>
+    piece_orders(const service_queue& queue,
+                 const decision::planned_call& plan) const;
     awaitable<void> send_releases(std::string service);
-    void summarize(const std::string& service, line& one);
+    void summarize(const std::string& service, service_queue& queue);
 
     entry_context& m_context;
-    decision::downstream_backlog m_later;
-    decision::downstream_estimates m_outlook;
-    std::vector<foresight> m_foreseen;
-    instant m_foreseen_at{};
-    std::map<std::string, std::unique_ptr<line>> m_lines;
+    decision::downstream_backlog m_backlog;
+    decision::downstream_estimates m_estimates;
+    std::vector<downstream_forecast> m_forecasts;
+    instant m_forecasts_at{};
+    std::map<std::string, std::unique_ptr<service_queue>> m_queues;
     std::uint64_t m_next_number = 1;
     instant m_summarized_at{};
 };
--- a/packages/serving/gatherer_results.cpp
+++ b/packages/serving/gatherer_results.cpp
@@ -9,17 +9,18 @@
 {
 
 /// A job fails once this many calls with pieces of it were lost.
-constexpr std::uint32_t most_losses = 3;
+constexpr std::uint32_t max_lost_calls = 3;
 
 } // namespace
 
-void gatherer::take_results(line& one, const decision::planned_call& plan,
-                            const std::vector<piece_result>& results)
+void gatherer::handle_results(service_queue& queue,
+                              const decision::planned_call& plan,
+                              const std::vector<piece_result>& results)
 {
     const instant now = m_context.now();
     if (results.size() != plan.pieces.size())
     {
-        lose(one, plan);
+        handle_lost_call(queue, plan);
         return;
     }
     for (std::size_t index = 0; index < results.size(); ++index)
@@ -28,65 +29,66 @@
         switch (results[index].what)
         {
         case piece_result::kind::made:
-            one.planner.note_piece_made(ref, plan.target, results[index].handle,
-                                        now);
-            if (one.planner.find(ref.job) == nullptr)
-                let_go(one, results[index].handle);
+            queue.planner.note_piece_made(ref, plan.target,
+                                          results[index].handle, now);
+            if (queue.planner.find(ref.job) == nullptr)
+                queue_release(queue, results[index].handle);
             break;
         case piece_result::kind::no_room:
             m_context.count("pieces_lost", "why", "room");
-            ++one.no_room;
-            one.planner.note_memory_full(plan.target, now);
-            one.planner.requeue_piece(ref);
+            ++queue.memory_refusals;
+            queue.planner.note_memory_full(plan.target, now);
+            queue.planner.requeue_piece(ref);
             break;
         case piece_result::kind::failed:
             m_context.count("pieces_lost", "why", "failed");
-            one.planner.requeue_piece(ref);
+            queue.planner.requeue_piece(ref);
             break;
         case piece_result::kind::late:
             m_context.count("pieces_lost", "why", "late");
-            give_up(one, ref, decision::job_status::expired);
+            mark_failed(queue, ref, decision::job_status::expired);
             break;
         case piece_result::kind::gone:
             m_context.count("pieces_lost", "why", "gone");
-            give_up(one, ref, decision::job_status::input_lost);
+            mark_failed(queue, ref, decision::job_status::input_lost);
             break;
         }
     }
 }
 
-void gatherer::give_up(line& one, const decision::piece_ref& piece,
-                       decision::job_status end)
+void gatherer::mark_failed(service_queue& queue,
+                           const decision::piece_ref& piece,
+                           decision::job_status end)
 {
-    const auto asked = one.asked.find(piece.job);
-    if (asked != one.asked.end())
-        asked->second.given_up = end;
-    one.planner.requeue_piece(piece);
+    const auto accepted = queue.jobs.find(piece.job);
+    if (accepted != queue.jobs.end())
+        accepted->second.failure = end;
+    queue.planner.requeue_piece(piece);
 }
 
-void gatherer::let_go(line& one, const std::string& handle)
+void gatherer::queue_release(service_queue& queue, const std::string& handle)
 {
-    one.to_release[m_context.speech.maker_of(handle)].push_back(handle);
+    queue.pending_releases[m_context.speech.maker_of(handle)].push_back(handle);
 }
 
 // A full target ran nothing, so no call was lost. When such refusals counted as
 // lost calls, three of them within a call's time failed requests that had
 // seconds left.
-void gatherer::put_back(line& one, const decision::planned_call& plan)
+void gatherer::requeue(service_queue& queue, const decision::planned_call& plan)
 {
     for (const decision::piece_ref& ref : plan.pieces)
-        one.planner.requeue_piece(ref);
+        queue.planner.requeue_piece(ref);
 }
 
-void gatherer::note_target_ends(const line& one,
+void gatherer::note_target_ends(const service_queue& queue,
                                 const decision::planned_call& plan,
                                 instant began)
 {
-    std::uint64_t last = 0;
+    std::uint64_t last_job = 0;
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        const decision::stage_job* job = one.planner.find(ref.job);
-        if (job == nullptr || ref.job == std::exchange(last, ref.job))
+        const decision::stage_job* job = queue.planner.find(ref.job);
+        if (job == nullptr || ref.job == std::exchange(last_job, ref.job))
             continue;
         note_target_end(
             m_context,
@@ -95,101 +97,106 @@
     }
 }
 
-void gatherer::lose(line& one, const decision::planned_call& plan)
+void gatherer::handle_lost_call(service_queue& queue,
+                                const decision::planned_call& plan)
 {
-    std::uint64_t last = 0;
+    std::uint64_t last_job = 0;
     for (const decision::piece_ref& ref : plan.pieces)
     {
-        one.planner.requeue_piece(ref);
-        const auto asked = one.asked.find(ref.job);
-        if (asked == one.asked.end())
+        queue.planner.requeue_piece(ref);
+        const auto accepted = queue.jobs.find(ref.job);
+        if (accepted == queue.jobs.end())
             continue;
-        if (ref.job != last)
-            ++asked->second.losses;
-        if (asked->second.is_fetched)
-            asked->second.given_up = decision::job_status::input_lost;
-        last = ref.job;
+        if (ref.job != last_job)
+            ++accepted->second.lost_calls;
+        if (accepted->second.has_fetched_inputs)
+            accepted->second.failure = decision::job_status::input_lost;
+        last_job = ref.job;
     }
 }
 
-void gatherer::end_job(const std::string& service, line& one,
+void gatherer::end_job(const std::string& service, service_queue& queue,
                        std::uint64_t number, decision::job_status end,
                        std::vector<std::string> handles, bool was_late)
 {
-    const auto asked = one.asked.find(number);
-    if (asked == one.asked.end())
+    const auto accepted = queue.jobs.find(number);
+    if (accepted == queue.jobs.end())
         return;
-    const outcome_sink done = std::move(asked->second.done);
-    one.asked.erase(asked);
-    std::vector<std::string> kept = handles;
-    const bool is_made = end == decision::job_status::completed;
-    if (!is_made)
+    const outcome_callback done = std::move(accepted->second.done);
+    queue.jobs.erase(accepted);
+    std::vector<std::string> all_handles = handles;
+    const bool is_completed = end == decision::job_status::completed;
+    if (!is_completed)
         handles.clear();
     const bool is_taken = done({end, std::move(handles), was_late});
-    if (!is_made || !is_taken)
-        release(service, kept);
+    if (!is_completed || !is_taken)
+        release(service, all_handles);
 }
 
-void gatherer::end_finished(const std::string& service, line& one)
+void gatherer::end_finished_jobs(const std::string& service,
+                                 service_queue& queue)
 {
-    for (auto& done : one.planner.take_finished())
-        end_job(service, one, done.job.number, decision::job_status::completed,
-                std::move(done.handles), done.job.is_late);
+    for (auto& done : queue.planner.take_finished())
+        end_job(service, queue, done.job.number,
+                decision::job_status::completed, std::move(done.handles),
+                done.job.is_late);
 }
 
 // Pieces that no request waits for, or that can't be done in time, only take
 // memory and time from others. Where all targets are evacuated, waiting jobs
 // fail at once instead of when they expire.
-void gatherer::end_unwanted(const std::string& service, line& one)
+void gatherer::end_unwanted_jobs(const std::string& service,
+                                 service_queue& queue)
 {
     const bool is_evacuated = m_context.directory.is_evacuated(service);
     std::vector<std::pair<std::uint64_t, decision::job_status>> ended;
-    for (const auto& [number, asked] : one.asked)
+    for (const auto& [number, accepted] : queue.jobs)
     {
-        if (!asked.wanted())
+        if (!accepted.is_wanted())
             ended.emplace_back(number, decision::job_status::expired);
-        else if (asked.given_up)
-            ended.emplace_back(number, *asked.given_up);
-        else if (asked.losses >= most_losses ||
-                 (is_evacuated && !one.planner.is_in_progress(number)))
+        else if (accepted.failure)
+            ended.emplace_back(number, *accepted.failure);
+        else if (accepted.lost_calls >= max_lost_calls ||
+                 (is_evacuated && !queue.planner.is_in_progress(number)))
             ended.emplace_back(number, decision::job_status::failed);
     }
     for (const auto& [number, end] : ended)
-        if (auto job = one.planner.take(number))
-            end_job(service, one, number, end, std::move(job->handles));
-    for (auto& late : one.planner.take_expired(m_context.now(), m_outlook))
+        if (auto job = queue.planner.take(number))
+            end_job(service, queue, number, end, std::move(job->handles));
+    for (auto& late : queue.planner.take_expired(m_context.now(), m_estimates))
     {
-        ++one.late;
-        end_job(service, one, late.job.number, decision::job_status::expired,
+        ++queue.expired_jobs;
+        end_job(service, queue, late.job.number, decision::job_status::expired,
                 std::move(late.handles));
     }
 }
 
-void gatherer::summarize(const std::string& service, line& one)
+void gatherer::summarize(const std::string& service, service_queue& queue)
 {
-    if (one.calls == 0 && one.planner.waiting_jobs() == 0)
+    if (queue.calls == 0 && queue.planner.waiting_jobs() == 0)
         return;
     const instant now = m_context.now();
     runtime::event("service_gathered")
         .with("service", service)
-        .with("calls", one.calls)
-        .with("pieces", one.pieces)
-        .with("waiting_jobs", one.planner.waiting_jobs())
-        .with("waiting_pieces", one.planner.waiting_pieces())
-        .with("wait_ms", static_cast<std::uint64_t>(
-                             one.planner.expected_wait(now).count() / 1000000))
-        .with("room_used", one.planner.stored_bytes())
-        .with("no_room", one.no_room)
-        .with("late", one.late)
+        .with("calls", queue.calls)
+        .with("pieces", queue.pieces)
+        .with("waiting_jobs", queue.planner.waiting_jobs())
+        .with("waiting_pieces", queue.planner.waiting_pieces())
+        .with("wait_ms",
+              static_cast<std::uint64_t>(
+                  queue.planner.expected_wait(now).count() / 1000000))
+        .with("room_used", queue.planner.stored_bytes())
+        .with("no_room", queue.memory_refusals)
+        .with("late", queue.expired_jobs)
         .info();
     m_context.metrics.count({"calls", runtime::label("service", service)}) +=
-        one.calls;
+        queue.calls;
     m_context.metrics.count({"pieces", runtime::label("service", service)}) +=
-        one.pieces;
-    one.calls = 0;
-    one.pieces = 0;
-    one.no_room = 0;
-    one.late = 0;
+        queue.pieces;
+    queue.calls = 0;
+    queue.pieces = 0;
+    queue.memory_refusals = 0;
+    queue.expired_jobs = 0;
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -13,43 +13,43 @@
 
 /// A ping that is late by this multiple of its interval shows that this process
 /// itself was stalled.
-constexpr int stood_still = 3;
+constexpr int stall_factor = 3;
 
 /// Time limit for connecting: it starts here and grows by a quarter with each
 /// attempt up to the maximum. An instance that is still starting does not
 /// answer at all; with a first limit of half a second, entries that started
 /// together took as long to find each other.
-constexpr duration first_connect_time = std::chrono::milliseconds(100);
-constexpr duration longest_connect_time = std::chrono::milliseconds(500);
+constexpr duration initial_connect_timeout = std::chrono::milliseconds(100);
+constexpr duration max_connect_timeout = std::chrono::milliseconds(500);
 
 /// A connection that ended sooner than this is not reopened without a pause.
-constexpr duration least_connection = std::chrono::milliseconds(500);
+constexpr duration min_connection_time = std::chrono::milliseconds(500);
 
 /// The pause before an attempt to reach an unreachable entry is repeated: it
 /// grows by a quarter each time up to the maximum. Entries that are started
 /// together come up within some tenths of a second, and one that is a little
 /// earlier does not reach any seed yet.
-constexpr duration first_retry_pause = std::chrono::milliseconds(20);
-constexpr duration longest_retry_pause = std::chrono::milliseconds(400);
+constexpr duration initial_retry_pause = std::chrono::milliseconds(20);
+constexpr duration max_retry_pause = std::chrono::milliseconds(400);
 
 } // namespace
 
 peer_link::peer_link(entry_context& context, peer_listener& listener,
                      std::string address)
     : m_context(context), m_listener(listener), m_address(std::move(address)),
-      m_connect_time(first_connect_time), m_watch_now(context.loop),
-      m_news(context)
+      m_connect_timeout(initial_connect_timeout), m_ping_now(context.loop),
+      m_target_ends(context)
 {
 }
 
 awaitable<bool> peer_link::connect()
 {
-    const runtime::address where = runtime::address::parse(m_address);
+    const runtime::address address = runtime::address::parse(m_address);
     auto socket = std::make_shared<tcp::socket>(m_context.loop);
-    loop_timer guard(m_context.loop, m_connect_time);
-    m_connect_time =
-        std::min(m_connect_time + m_connect_time / 4, longest_connect_time);
-    guard.async_wait(
+    loop_timer timeout(m_context.loop, m_connect_timeout);
+    m_connect_timeout = std::min(m_connect_timeout + m_connect_timeout / 4,
+                                 max_connect_timeout);
+    timeout.async_wait(
         [socket](const error_code& fault)
         {
             error_code ignored; // The socket is abandoned in any case.
@@ -57,15 +57,15 @@
                 socket->close(ignored);
         });
     error_code fault;
-    const tcp::endpoint there(asio::ip::make_address_v4(where.host),
-                              where.port);
-    co_await socket->async_connect(there, into(fault));
-    guard.cancel();
+    const tcp::endpoint endpoint(asio::ip::make_address_v4(address.host),
+                                 address.port);
+    co_await socket->async_connect(endpoint, into(fault));
+    timeout.cancel();
     if (fault || !socket->is_open())
         co_return false;
-    m_connect_time = first_connect_time;
+    m_connect_timeout = initial_connect_timeout;
     m_socket = std::make_shared<frame_socket>(std::move(*socket));
-    m_news.begin_anew();
+    m_target_ends.begin_anew();
     peer::Frame hello;
     hello.mutable_hello()->set_address(m_context.settings.announced.text());
     m_socket->send(hello);
@@ -74,32 +74,32 @@
 
 awaitable<void> peer_link::run()
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     bool is_connected = false;
-    duration pause = first_retry_pause;
+    duration pause = initial_retry_pause;
     while (!m_is_closed)
     {
         if (!is_connected)
             is_connected = co_await connect();
         if (is_connected)
         {
-            pause = first_retry_pause;
-            ask_again();
+            pause = initial_retry_pause;
+            resubmit_jobs();
             m_is_silent = false;
-            const instant began = m_context.now();
+            const instant connected_at = m_context.now();
             start(m_context.loop, ping());
             co_await listen();
             is_connected = false;
-            if (may_be_back(began))
+            if (should_reconnect_at_once(connected_at))
                 is_connected = co_await connect();
             if (is_connected)
                 continue;
-            lose();
+            handle_loss();
         }
         loop_timer timer(m_context.loop, pause);
         error_code ignored; // No other code cancels this timer.
         co_await timer.async_wait(into(ignored));
-        pause = std::min(pause + pause / 4, longest_retry_pause);
+        pause = std::min(pause + pause / 4, max_retry_pause);
     }
 }
 
@@ -107,16 +107,16 @@
 // the next entry until the reconnect, both entries would send calls to the same
 // targets, and neither could fill its calls. An entry that stopped answering
 // gets no immediate reconnect.
-bool peer_link::may_be_back(instant began) const
+bool peer_link::should_reconnect_at_once(instant connected_at) const
 {
     return !m_is_closed && !m_is_silent &&
-           m_context.now() >= began + least_connection;
+           m_context.now() >= connected_at + min_connection_time;
 }
 
-void peer_link::ask_again()
+void peer_link::resubmit_jobs()
 {
-    for (const auto& [number, one] : m_asked)
-        m_socket->send(job_frame(one.service, one.job, m_context.now()));
+    for (const auto& [number, job] : m_submitted)
+        m_socket->send(job_frame(job.service, job.job, m_context.now()));
 }
 
 void peer_link::close()
@@ -128,31 +128,31 @@
 
 awaitable<void> peer_link::ping()
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     const frame_socket_ptr socket = m_socket;
-    m_heard_at = m_context.now();
-    std::uint64_t read_before = 0;
+    m_last_heard_at = m_context.now();
+    std::uint64_t bytes_read_before = 0;
     while (socket->is_open())
     {
         peer::Frame frame;
         *frame.mutable_ping()->mutable_holding() = m_listener.holding();
-        m_news.write(*frame.mutable_ping()->mutable_news());
+        m_target_ends.write(*frame.mutable_ping()->mutable_news());
         socket->send(frame);
         const instant asked_at = m_context.now();
-        const auto watch = m_listener.watch_of(m_address, !m_asked.empty());
-        const bool is_given_work = co_await m_watch_now.wait(watch.interval);
+        const auto watch = m_listener.watch_of(m_address, !m_submitted.empty());
+        const bool is_ping_requested = co_await m_ping_now.wait(watch.interval);
         const instant now = m_context.now();
         // If this process was stalled, the other entry's silence says nothing,
         // and that entry gets the full time to answer from now on. The same
         // holds for an entry that was pinged at a longer interval until now.
-        if (is_given_work || now - asked_at > watch.interval * stood_still)
-            m_heard_at = now;
-        drop_unwanted();
+        if (is_ping_requested || now - asked_at > watch.interval * stall_factor)
+            m_last_heard_at = now;
+        cancel_unwanted_jobs();
         // Bytes count as an answer: a large frame takes long on a narrow link.
         if (socket->bytes_read() !=
-            std::exchange(read_before, socket->bytes_read()))
-            m_heard_at = now;
-        if (now - m_heard_at > watch.silence)
+            std::exchange(bytes_read_before, socket->bytes_read()))
+            m_last_heard_at = now;
+        if (now - m_last_heard_at > watch.silence)
         {
             runtime::event("entry_silent").with("entry", m_address).warn();
             m_is_silent = true;
@@ -166,21 +166,21 @@
     const frame_socket_ptr socket = m_socket;
     while (auto frame = co_await socket->read())
     {
-        m_heard_at = m_context.now();
-        take(*frame);
+        m_last_heard_at = m_context.now();
+        handle_frame(*frame);
     }
 }
 
-void peer_link::take(const peer::Frame& frame)
+void peer_link::handle_frame(const peer::Frame& frame)
 {
     switch (frame.content_case())
     {
     case peer::Frame::kPong:
-        return take_pong(frame.pong());
+        return handle_pong(frame.pong());
     case peer::Frame::kCatalog:
         return m_listener.take_catalog(m_address, frame.catalog().text());
     case peer::Frame::kCatalogPart:
-        return take_part(frame.catalog_part());
+        return handle_catalog_part(frame.catalog_part());
     case peer::Frame::kDeclined:
         return m_listener.note_declined(m_address);
     case peer::Frame::kTargets:
@@ -189,22 +189,22 @@
         return take_ends(m_context, frame.ends(), m_address);
     case peer::Frame::kJobEnd:
     {
-        const auto asked = m_asked.find(frame.job_end().number());
-        if (asked == m_asked.end())
+        const auto submitted = m_submitted.find(frame.job_end().number());
+        if (submitted == m_submitted.end())
             return;
-        const orphaned_job one = std::move(asked->second);
-        m_asked.erase(asked);
+        const orphaned_job job = std::move(submitted->second);
+        m_submitted.erase(submitted);
         piece_outcome outcome = outcome_of(frame.job_end());
-        if (one.wait->is_dropped())
-            release(one.service, outcome.handles);
-        one.wait->set_outcome(std::move(outcome));
+        if (job.pending->is_dropped())
+            release(job.service, outcome.handles);
+        job.pending->set_outcome(std::move(outcome));
         return;
     }
     case peer::Frame::kJobFetched:
     {
-        const auto asked = m_asked.find(frame.job_fetched().number());
-        if (asked != m_asked.end())
-            asked->second.wait->set_fetched();
+        const auto submitted = m_submitted.find(frame.job_fetched().number());
+        if (submitted != m_submitted.end())
+            submitted->second.pending->set_fetched();
         return;
     }
     default:
@@ -212,33 +212,33 @@
     }
 }
 
-void peer_link::take_pong(const peer::Pong& pong)
+void peer_link::handle_pong(const peer::Pong& pong)
 {
     if (!m_is_alive)
         runtime::event("entry_found").with("entry", m_address).info();
     m_is_alive = true;
     take_ends(m_context, pong.news(), m_address);
-    m_news.note_theirs(pong.holding().ends_summary());
-    tell_ends();
+    m_target_ends.note_theirs(pong.holding().ends_summary());
+    send_target_ends();
     const peer::Want want = m_listener.note_holding(m_address, pong.holding());
     if (!want.catalog() && !want.targets())
         return;
-    peer::Frame ask;
-    *ask.mutable_want() = want;
-    ask.mutable_want()->set_in_parts(true);
-    m_socket->send(ask);
+    peer::Frame request;
+    *request.mutable_want() = want;
+    request.mutable_want()->set_in_parts(true);
+    m_socket->send(request);
 }
 
 // Target ends are sent at once rather than with the next ping, which may be
 // seconds away in a large fleet.
-void peer_link::tell_ends()
+void peer_link::send_target_ends()
 {
     peer::Frame frame;
-    if (m_news.write(*frame.mutable_ends()))
+    if (m_target_ends.write(*frame.mutable_ends()))
         m_socket->send(frame);
 }
 
-void peer_link::take_part(const peer::CatalogPart& part)
+void peer_link::handle_catalog_part(const peer::CatalogPart& part)
 {
     m_listener.note_catalog_part(m_address);
     if (const auto text = m_catalog.add(part))
@@ -255,13 +255,13 @@
 }
 
 void peer_link::ask(const std::string& service, decision::stage_job job,
-                    piece_wait_ptr wait)
+                    piece_wait_ptr pending)
 {
-    if (m_asked.empty())
-        m_watch_now.raise();
+    if (m_submitted.empty())
+        m_ping_now.raise();
     job.number = m_next_number++;
     m_socket->send(job_frame(service, job, m_context.now()));
-    m_asked[job.number] = {service, std::move(job), std::move(wait)};
+    m_submitted[job.number] = {service, std::move(job), std::move(pending)};
 }
 
 void peer_link::release(const std::string& service,
@@ -270,40 +270,40 @@
     peer::Frame frame;
     peer::Release& message = *frame.mutable_release();
     message.set_service(service);
-    for (const std::string& one : handles)
-        message.add_handles(one);
+    for (const std::string& handle : handles)
+        message.add_handles(handle);
     m_socket->send(frame);
 }
 
-void peer_link::drop_unwanted()
+void peer_link::cancel_unwanted_jobs()
 {
-    for (auto one = m_asked.begin(); one != m_asked.end();)
+    for (auto job = m_submitted.begin(); job != m_submitted.end();)
     {
-        if (!one->second.wait->is_dropped())
+        if (!job->second.pending->is_dropped())
         {
-            ++one;
+            ++job;
             continue;
         }
         peer::Frame frame;
-        frame.mutable_job_dropped()->set_number(one->first);
+        frame.mutable_job_dropped()->set_number(job->first);
         m_socket->send(frame);
-        one = m_asked.erase(one);
+        job = m_submitted.erase(job);
     }
 }
 
-void peer_link::lose()
+void peer_link::handle_loss()
 {
     if (m_is_alive)
         runtime::event("entry_lost")
             .with("entry", m_address)
-            .with("jobs", m_asked.size())
+            .with("jobs", m_submitted.size())
             .warn();
     m_is_alive = false;
     m_listener.note_lost(m_address);
     std::vector<orphaned_job> jobs;
-    for (auto& [number, one] : std::exchange(m_asked, {}))
-        if (!one.wait->is_dropped())
-            jobs.push_back(std::move(one));
+    for (auto& [number, job] : std::exchange(m_submitted, {}))
+        if (!job.pending->is_dropped())
+            jobs.push_back(std::move(job));
     if (!jobs.empty())
         m_listener.take_back(std::move(jobs));
 }
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -21,7 +21,7 @@
 {
     std::string service;
     decision::stage_job job;
-    piece_wait_ptr wait;
+    piece_wait_ptr pending;
 };
 
 /// Handles what an entry receives from another entry over a peer_link.
@@ -35,7 +35,7 @@
     /// Handles the state of the entry at \a address. Returns what to request
     /// from it.
     virtual peer::Want note_holding(const std::string& address,
-                                    const peer::Holding& theirs) = 0;
+                                    const peer::Holding& peer_state) = 0;
     /// Handles a catalog received from the entry at \a address.
     virtual void take_catalog(const std::string& address,
                               const std::string& text) = 0;
@@ -75,15 +75,15 @@
     bool is_alive() const { return m_is_alive; }
 
     /// Returns when the other entry was last heard from.
-    instant heard_at() const { return m_heard_at; }
+    instant heard_at() const { return m_last_heard_at; }
 
     void ask(const std::string& service, decision::stage_job job,
-             piece_wait_ptr wait);
+             piece_wait_ptr pending);
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
 
     /// Pings the other entry now instead of at the next interval.
-    void ask_now() { m_watch_now.raise(); }
+    void ask_now() { m_ping_now.raise(); }
 
     /// Asks the other entry to stop sending a copy in parts.
     void drop_copy();
@@ -92,30 +92,31 @@
     awaitable<bool> connect();
     awaitable<void> ping();
     awaitable<void> listen();
-    void take(const peer::Frame& frame);
-    void take_pong(const peer::Pong& pong);
-    void tell_ends();
-    void take_part(const peer::CatalogPart& part);
-    void drop_unwanted();
-    bool may_be_back(instant began) const;
-    void ask_again();
-    void lose();
+    void handle_frame(const peer::Frame& frame);
+    void handle_pong(const peer::Pong& pong);
+    void send_target_ends();
+    void handle_catalog_part(const peer::CatalogPart& part);
+    void cancel_unwanted_jobs();
+    bool should_reconnect_at_once(instant connected_at) const;
+    void resubmit_jobs();
+    void handle_loss();
 
     entry_context& m_context;
     peer_listener& m_listener;
     std::string m_address;
     frame_socket_ptr m_socket;
-    std::map<std::uint64_t, orphaned_job> m_asked;
+    std::map<std::uint64_t, orphaned_job> m_submitted;
     std::uint64_t m_next_number = 1;
-    duration m_connect_time; ///< Time limit of the next attempt to connect.
-    instant m_heard_at{};
+    duration m_connect_timeout; ///< Time limit of the next attempt to connect.
+    instant m_last_heard_at{};
     bool m_is_alive = false;
-    bool m_is_silent = false; ///< Whether the connection was closed because the
-                              ///< other entry stopped answering.
-    signal_point m_watch_now; ///< Raised to ping at once.
+    /// Whether the connection was closed because the other entry stopped
+    /// answering.
+    bool m_is_silent = false;
+    signal_point m_ping_now; ///< Raised to ping at once.
     bool m_is_closed = false;
     catalog_collector m_catalog;
-    end_news m_news; ///< For the current connection.
+    end_news m_target_ends; ///< For the current connection.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -16,13 +16,13 @@
 
 /// An entry that has not answered for this long is removed, unless it is a
 /// seed; it announces itself again when it starts.
-constexpr duration forget_after = std::chrono::seconds(30);
+constexpr duration lost_entry_lifetime = std::chrono::seconds(30);
 
 } // namespace
 
 peer_mesh::peer_mesh(entry_context& context, source_reader& source,
-                     gatherer& own)
-    : m_context(context), m_source(source), m_gatherer(own),
+                     gatherer& batcher)
+    : m_context(context), m_source(source), m_batcher(batcher),
       m_roster(context.settings.announced.text(), context.settings.cores)
 {
     context.quarantine.set_own_name(m_roster.own());
@@ -32,8 +32,8 @@
 {
     const auto& seeds = m_context.settings.seeds;
     return std::any_of(seeds.begin(), seeds.end(),
-                       [&address](const runtime::address& one)
-                       { return one.text() == address; });
+                       [&address](const runtime::address& seed)
+                       { return seed.text() == address; });
 }
 
 void peer_mesh::add(const std::string& address)
@@ -79,48 +79,49 @@
 }
 
 void peer_mesh::note_asker(const std::string& address,
-                           const peer::Holding& theirs)
+                           const peer::Holding& peer_state)
 {
-    take_zone_words(m_context, zones_of(theirs), address);
-    if (theirs.is_stopping())
-        m_roster.note_stopping(address, m_context.now() -
-                                            duration(theirs.stopping_for_ns()));
+    take_zone_words(m_context, zones_of(peer_state), address);
+    if (peer_state.is_stopping())
+        m_roster.note_stopping(
+            address, m_context.now() - duration(peer_state.stopping_for_ns()));
 }
 
 void peer_mesh::note_lost(const std::string& address)
 {
     m_roster.note_lost(address);
-    m_lacks_catalog.note_lost(address);
-    m_lacks_targets.note_lost(address);
+    m_catalog_catch_up.note_lost(address);
+    m_target_catch_up.note_lost(address);
 }
 
-peer::Holding peer_mesh::holding(std::size_t known) const
+peer::Holding peer_mesh::holding(std::size_t known_entries) const
 {
-    peer::Holding own;
-    own.set_catalog_version(m_context.catalog ? m_context.catalog->version()
-                                              : 0);
-    own.set_targets_digest(m_context.directory.digest());
-    for (const std::string& one : m_roster.some(known, m_context.random))
-        own.add_entries(one);
-    own.set_cores(m_context.settings.cores);
-    own.set_is_settled(is_settled());
-    own.set_known(static_cast<std::uint32_t>(m_roster.size()));
-    own.set_is_stopping(m_context.is_stopping());
+    peer::Holding state;
+    state.set_catalog_version(m_context.catalog ? m_context.catalog->version()
+                                                : 0);
+    state.set_targets_digest(m_context.directory.digest());
+    for (const std::string& entry :
+         m_roster.some(known_entries, m_context.random))
+        state.add_entries(entry);
+    state.set_cores(m_context.settings.cores);
+    state.set_is_settled(is_settled());
+    state.set_known(static_cast<std::uint32_t>(m_roster.size()));
+    state.set_is_stopping(m_context.is_stopping());
     if (m_context.drain)
-        own.set_stopping_for_ns(
+        state.set_stopping_for_ns(
             (m_context.now() - m_context.drain->started_at()).count());
-    own.set_has_targets(m_context.knows_targets);
-    own.set_ends_summary(m_context.quarantine.ends().summary());
-    write_zones(m_context.evacuations.known(), own);
-    for (const auto& [service, said] : m_gatherer.waits())
+    state.set_has_targets(m_context.knows_targets);
+    state.set_ends_summary(m_context.quarantine.ends().summary());
+    write_zones(m_context.evacuations.known(), state);
+    for (const auto& [service, times] : m_batcher.waits())
     {
-        peer::Backlog& one = *own.add_backlogs();
-        one.set_service(service);
-        one.set_in_time_ns(said.on_time.count());
-        one.set_wait_ns(said.late.count());
-        one.set_call_ns(said.call_time.count());
+        peer::Backlog& backlog = *state.add_backlogs();
+        backlog.set_service(service);
+        backlog.set_in_time_ns(times.on_time.count());
+        backlog.set_wait_ns(times.late.count());
+        backlog.set_call_ns(times.call_time.count());
     }
-    return own;
+    return state;
 }
 
 void peer_mesh::drop_copy(const std::string& address)
@@ -130,52 +131,55 @@
         found->second->drop_copy();
 }
 
-void peer_mesh::note_level(decision::catch_up& lacking)
+void peer_mesh::note_up_to_date(decision::catch_up& catch_up)
 {
     // A copy that another entry is still sending only takes bandwidth now.
-    if (!lacking.under_way().empty())
-        drop_copy(lacking.under_way());
-    lacking.note_level();
+    if (!catch_up.under_way().empty())
+        drop_copy(catch_up.under_way());
+    catch_up.note_level();
 }
 
-bool peer_mesh::asks(decision::catch_up& lacking, const std::string& address)
+bool peer_mesh::should_request(decision::catch_up& catch_up,
+                               const std::string& address)
 {
-    lacking.set_bound(m_context.settings.adoption_time);
-    const std::string before = lacking.under_way();
-    if (!lacking.asks(address, m_source.state(), m_context.now()))
+    catch_up.set_bound(m_context.settings.adoption_time);
+    const std::string before = catch_up.under_way();
+    if (!catch_up.asks(address, m_source.state(), m_context.now()))
         return false;
     if (!before.empty() && before != address)
         drop_copy(before);
     return true;
 }
 
-bool peer_mesh::wants_catalog(const std::string& address,
-                              const peer::Holding& theirs)
+bool peer_mesh::should_request_catalog(const std::string& address,
+                                       const peer::Holding& peer_state)
 {
-    const std::uint64_t own =
+    const std::uint64_t own_version =
         m_context.catalog ? m_context.catalog->version() : 0;
-    m_newest_version = std::max(m_newest_version, theirs.catalog_version());
-    if (own >= m_newest_version)
-        note_level(m_lacks_catalog);
-    if (theirs.catalog_version() <= own || !asks(m_lacks_catalog, address))
+    m_newest_catalog_version =
+        std::max(m_newest_catalog_version, peer_state.catalog_version());
+    if (own_version >= m_newest_catalog_version)
+        note_up_to_date(m_catalog_catch_up);
+    if (peer_state.catalog_version() <= own_version ||
+        !should_request(m_catalog_catch_up, address))
         return false;
     runtime::event("catalog_asked_for")
         .with("entry", address)
-        .with("version", theirs.catalog_version())
-        .with("before", own)
+        .with("version", peer_state.catalog_version())
+        .with("before", own_version)
         .info();
     return true;
 }
 
-bool peer_mesh::wants_targets(const std::string& address,
-                              const peer::Holding& theirs)
+bool peer_mesh::should_request_targets(const std::string& address,
+                                       const peer::Holding& peer_state)
 {
-    if (theirs.targets_digest() == m_context.directory.digest())
+    if (peer_state.targets_digest() == m_context.directory.digest())
     {
-        note_level(m_lacks_targets);
+        note_up_to_date(m_target_catch_up);
         return false;
     }
-    if (!asks(m_lacks_targets, address))
+    if (!should_request(m_target_catch_up, address))
         return false;
     m_context.count("relay_asked", "what", "targets");
     runtime::event("targets_asked_for")
@@ -186,34 +190,36 @@
 }
 
 peer::Want peer_mesh::note_holding(const std::string& address,
-                                   const peer::Holding& theirs)
+                                   const peer::Holding& peer_state)
 {
-    m_roster.note_answer(address,
-                         {theirs.cores(), theirs.is_stopping(),
-                          theirs.is_settled(), theirs.known(),
-                          theirs.catalog_version() > 0 && theirs.has_targets(),
-                          duration(theirs.stopping_for_ns())},
-                         m_context.now());
+    m_roster.note_answer(
+        address,
+        {peer_state.cores(), peer_state.is_stopping(), peer_state.is_settled(),
+         peer_state.known(),
+         peer_state.catalog_version() > 0 && peer_state.has_targets(),
+         duration(peer_state.stopping_for_ns())},
+        m_context.now());
     m_context.entries_known =
         std::max(m_context.entries_known, m_roster.size());
-    take_zone_words(m_context, zones_of(theirs), address);
-    for (const std::string& one : theirs.entries())
-        add(one);
-    for (const peer::Backlog& one : theirs.backlogs())
-        m_gatherer.note_wait(one.service(), {duration(one.in_time_ns()),
-                                             duration(one.wait_ns()),
-                                             duration(one.call_ns())});
+    take_zone_words(m_context, zones_of(peer_state), address);
+    for (const std::string& entry : peer_state.entries())
+        add(entry);
+    for (const peer::Backlog& backlog : peer_state.backlogs())
+        m_batcher.note_wait_times(backlog.service(),
+                                  {duration(backlog.in_time_ns()),
+                                   duration(backlog.wait_ns()),
+                                   duration(backlog.call_ns())});
     peer::Want want;
-    want.set_catalog(wants_catalog(address, theirs));
+    want.set_catalog(should_request_catalog(address, peer_state));
     // One copy at a time: two would share the bandwidth.
-    if (m_lacks_catalog.under_way().empty())
-        want.set_targets(wants_targets(address, theirs));
+    if (m_catalog_catch_up.under_way().empty())
+        want.set_targets(should_request_targets(address, peer_state));
     return want;
 }
 
 void peer_mesh::note_catalog_part(const std::string& address)
 {
-    m_lacks_catalog.note_part(address, m_context.now());
+    m_catalog_catch_up.note_part(address, m_context.now());
 }
 
 void peer_mesh::take_catalog(const std::string& address,
@@ -223,71 +229,73 @@
         .with("entry", address)
         .with("bytes", text.size())
         .info();
-    m_lacks_catalog.note_end(address, m_context.now());
+    m_catalog_catch_up.note_end(address, m_context.now());
     m_source.adopt(text, "entry");
 }
 
 void peer_mesh::note_declined(const std::string& address)
 {
-    m_lacks_catalog.note_lost(address);
-    m_lacks_targets.note_lost(address);
+    m_catalog_catch_up.note_lost(address);
+    m_target_catch_up.note_lost(address);
 }
 
 void peer_mesh::take_targets(const std::string& address,
                              const peer::Targets& targets)
 {
-    for (const decision::listed_target& one :
+    for (const decision::listed_target& target :
          serving::take_targets(targets, m_context.directory))
-        m_context.note_cold(one);
+        m_context.note_cold(target);
     m_context.knows_targets = m_context.knows_targets || targets.targets_size();
     if (targets.has_more())
-        m_lacks_targets.note_part(address, m_context.now());
+        m_target_catch_up.note_part(address, m_context.now());
     else
-        m_lacks_targets.note_end(address, m_context.now());
+        m_target_catch_up.note_end(address, m_context.now());
 }
 
 void peer_mesh::take_back(std::vector<orphaned_job> jobs)
 {
-    if (m_sink)
-        m_sink(std::move(jobs));
+    if (m_job_sink)
+        m_job_sink(std::move(jobs));
 }
 
-void peer_mesh::forget_lost()
+void peer_mesh::remove_lost_entries()
 {
     const instant now = m_context.now();
-    for (auto one = m_links.begin(); one != m_links.end();)
+    for (auto link = m_links.begin(); link != m_links.end();)
     {
-        const instant last =
-            std::max(one->second->heard_at(), m_added_at[one->first]);
-        if (one->second->is_alive() || is_seed(one->first) ||
-            now < last + forget_after)
+        const instant last_heard_at =
+            std::max(link->second->heard_at(), m_added_at[link->first]);
+        if (link->second->is_alive() || is_seed(link->first) ||
+            now < last_heard_at + lost_entry_lifetime)
         {
-            ++one;
+            ++link;
             continue;
         }
-        one->second->close();
-        m_added_at.erase(one->first);
-        one = m_links.erase(one);
+        link->second->close();
+        m_added_at.erase(link->first);
+        link = m_links.erase(link);
     }
 }
 
 void peer_mesh::update_services()
 {
-    if (!m_context.catalog || m_context.catalog->version() == m_services_of)
+    if (!m_context.catalog ||
+        m_context.catalog->version() == m_services_version)
         return;
-    m_services_of = m_context.catalog->version();
+    m_services_version = m_context.catalog->version();
     std::vector<std::string> services;
-    for (const catalog::service& one : m_context.catalog->content().services)
-        if (one.calls)
-            services.push_back(one.name);
+    for (const catalog::service& service :
+         m_context.catalog->content().services)
+        if (service.calls)
+            services.push_back(service.name);
     m_roster.set_services(std::move(services));
 }
 
 void peer_mesh::set_started()
 {
     std::vector<std::string> seeds;
-    for (const runtime::address& one : m_context.settings.seeds)
-        seeds.push_back(one.text());
+    for (const runtime::address& seed : m_context.settings.seeds)
+        seeds.push_back(seed.text());
     m_roster.set_started(std::move(seeds), m_context.now());
 }
 
@@ -297,12 +305,12 @@
     for (;;)
     {
         // The seeds can change with the settings while this process runs.
-        for (const runtime::address& one : m_context.settings.seeds)
-            add(one.text());
+        for (const runtime::address& seed : m_context.settings.seeds)
+            add(seed.text());
         error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
-        forget_lost();
+        remove_lost_entries();
         update_services();
         m_context.entries_answering = m_roster.size();
         m_source.end_long_watch();
--- a/packages/serving/peer_mesh.hpp
+++ b/packages/serving/peer_mesh.hpp
@@ -19,7 +19,7 @@
 class peer_mesh : public peer_listener
 {
 public:
-    peer_mesh(entry_context& context, source_reader& source, gatherer& own);
+    peer_mesh(entry_context& context, source_reader& source, gatherer& batcher);
 
     /// Connects to the seeds and runs the periodic work.
     awaitable<void> run();
@@ -53,17 +53,18 @@
     bool is_outlasted() const { return m_roster.is_outlasted(); }
 
     /// Handles the state that the entry at \a address sent with a ping.
-    void note_asker(const std::string& address, const peer::Holding& theirs);
+    void note_asker(const std::string& address,
+                    const peer::Holding& peer_state);
 
     using work_sink = std::function<void(std::vector<orphaned_job>)>;
-    void set_work_sink(work_sink sink) { m_sink = std::move(sink); }
+    void set_work_sink(work_sink sink) { m_job_sink = std::move(sink); }
 
     /// Returns the state of this entry, for an entry that knows \a known
     /// entries.
-    peer::Holding holding(std::size_t known) const;
+    peer::Holding holding(std::size_t known_entries) const;
     peer::Holding holding() const override { return holding(m_roster.size()); }
     peer::Want note_holding(const std::string& address,
-                            const peer::Holding& theirs) override;
+                            const peer::Holding& peer_state) override;
     decision::entry_roster::watch watch_of(const std::string& address,
                                            bool holds_work) const override;
     void note_lost(const std::string& address) override;
@@ -76,28 +77,31 @@
     void take_back(std::vector<orphaned_job> jobs) override;
 
 private:
-    void forget_lost();
+    void remove_lost_entries();
     void update_services();
-    bool wants_catalog(const std::string& address, const peer::Holding& theirs);
-    bool wants_targets(const std::string& address, const peer::Holding& theirs);
-    bool asks(decision::catch_up& lacking, const std::string& address);
-    void note_level(decision::catch_up& lacking);
+    bool should_request_catalog(const std::string& address,
+                                const peer::Holding& peer_state);
+    bool should_request_targets(const std::string& address,
+                                const peer::Holding& peer_state);
+    bool should_request(decision::catch_up& catch_up,
+                        const std::string& address);
+    void note_up_to_date(decision::catch_up& catch_up);
     void drop_copy(const std::string& address);
     bool is_seed(const std::string& address) const;
 
     entry_context& m_context;
     source_reader& m_source;
-    gatherer& m_gatherer;
+    gatherer& m_batcher;
     decision::entry_roster m_roster;
-    std::uint64_t m_services_of =
-        0; ///< Catalog version of the services that m_roster was given.
-    std::uint64_t m_newest_version =
-        0; ///< Newest catalog version held by any entry.
-    decision::catch_up m_lacks_catalog;
-    decision::catch_up m_lacks_targets;
+    /// Catalog version of the services that m_roster was given.
+    std::uint64_t m_services_version = 0;
+    /// Newest catalog version held by any entry.
+    std::uint64_t m_newest_catalog_version = 0;
+    decision::catch_up m_catalog_catch_up;
+    decision::catch_up m_target_catch_up;
     std::map<std::string, std::shared_ptr<peer_link>> m_links;
     std::map<std::string, instant> m_added_at;
-    work_sink m_sink;
+    work_sink m_job_sink;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -20,8 +20,8 @@
     message.set_stage(job.stage);
     message.set_pieces(job.pieces);
     message.set_key(job.key);
-    for (const std::string& one : job.inputs)
-        message.add_inputs(one);
+    for (const std::string& input : job.inputs)
+        message.add_inputs(input);
     message.set_result_bytes(job.result_bytes);
     message.set_input_bytes(job.input_bytes);
     message.set_is_late(job.is_late);
@@ -30,11 +30,11 @@
     message.set_yields_ns(job.priority_delay.count());
     message.set_due_in_ns((job.due - now).count());
     message.set_expires_in_ns((job.expires - now).count());
-    for (const decision::downstream_pieces& one : job.downstream)
+    for (const decision::downstream_pieces& stage : job.downstream)
     {
         peer::LaterPieces& later = *message.add_later();
-        later.set_service(one.service);
-        later.set_pieces(one.pieces);
+        later.set_service(stage.service);
+        later.set_pieces(stage.pieces);
     }
     return frame;
 }
@@ -56,22 +56,22 @@
     job.priority_delay = duration(message.yields_ns());
     job.due = now + duration(message.due_in_ns());
     job.expires = now + duration(message.expires_in_ns());
-    for (const peer::LaterPieces& one : message.later())
-        job.downstream.push_back({one.service(), one.pieces()});
+    for (const peer::LaterPieces& later : message.later())
+        job.downstream.push_back({later.service(), later.pieces()});
     return job;
 }
 
-void write_end(const decision::target_end& one, instant now,
+void write_end(const decision::target_end& target_end, instant now,
                peer::TargetEnd& message)
 {
-    message.set_content_high(one.content.high);
-    message.set_content_low(one.content.low);
-    message.set_target(one.target.id);
-    message.set_born(one.target.born);
-    message.set_began_ago_ns((now - one.began).count());
-    message.set_ended_ago_ns((now - one.ended).count());
-    message.set_is_refuted(one.is_refuted);
-    message.set_is_claim(one.is_claim);
+    message.set_content_high(target_end.content.high);
+    message.set_content_low(target_end.content.low);
+    message.set_target(target_end.target.id);
+    message.set_born(target_end.target.born);
+    message.set_began_ago_ns((now - target_end.began).count());
+    message.set_ended_ago_ns((now - target_end.ended).count());
+    message.set_is_refuted(target_end.is_refuted);
+    message.set_is_claim(target_end.is_claim);
 }
 
 decision::target_end end_of(const peer::TargetEnd& message, instant now)
@@ -91,22 +91,23 @@
 void write_zones(const decision::zone_words& known, peer::Holding& message)
 {
     message.set_zones_whole_at(known.whole_at);
-    for (const decision::zone_word& one : known.words)
+    for (const decision::zone_word& word : known.words)
     {
         peer::Zone& zone = *message.add_zones();
-        zone.set_name(one.zone);
-        zone.set_revision(one.revision);
-        zone.set_is_evacuated(one.is_evacuated);
+        zone.set_name(word.zone);
+        zone.set_revision(word.revision);
+        zone.set_is_evacuated(word.is_evacuated);
     }
 }
 
 decision::zone_words zones_of(const peer::Holding& message)
 {
-    decision::zone_words told;
-    told.whole_at = message.zones_whole_at();
-    for (const peer::Zone& one : message.zones())
-        told.words.push_back({one.name(), one.revision(), one.is_evacuated()});
-    return told;
+    decision::zone_words zones;
+    zones.whole_at = message.zones_whole_at();
+    for (const peer::Zone& zone : message.zones())
+        zones.words.push_back(
+            {zone.name(), zone.revision(), zone.is_evacuated()});
+    return zones;
 }
 
 peer::Frame job_end_frame(std::uint64_t number, const piece_outcome& outcome)
@@ -116,8 +117,8 @@
     message.set_number(number);
     message.set_end(static_cast<std::uint32_t>(outcome.end));
     message.set_was_late(outcome.was_late);
-    for (const std::string& one : outcome.handles)
-        message.add_handles(one);
+    for (const std::string& handle : outcome.handles)
+        message.add_handles(handle);
     return frame;
 }
 
@@ -137,7 +138,7 @@
 {
 
 /// About 10 KB: an urgent frame waits behind one part at most.
-constexpr std::size_t targets_in_part = 100;
+constexpr std::size_t targets_per_part = 100;
 
 bool is_address(const std::string& text)
 {
@@ -152,18 +153,18 @@
     }
 }
 
-void write_target(const decision::listed_target& one, peer::Target& target)
+void write_target(const decision::listed_target& listed, peer::Target& target)
 {
-    target.set_id(one.start.id);
-    target.set_born(one.start.born);
-    target.set_service(one.service);
-    target.set_address(one.address);
-    target.set_zone(one.zone);
-    target.set_slots(one.slots);
-    target.set_is_leaving(one.is_leaving);
-    target.set_is_removed(one.address.empty());
-    target.set_cold_for_ns(one.cold_for.count());
-    target.set_revision(one.revision);
+    target.set_id(listed.start.id);
+    target.set_born(listed.start.born);
+    target.set_service(listed.service);
+    target.set_address(listed.address);
+    target.set_zone(listed.zone);
+    target.set_slots(listed.slots);
+    target.set_is_leaving(listed.is_leaving);
+    target.set_is_removed(listed.address.empty());
+    target.set_cold_for_ns(listed.cold_for.count());
+    target.set_revision(listed.revision);
 }
 
 } // namespace
@@ -171,16 +172,16 @@
 frame_socket::part_source
 target_parts(const decision::target_directory& directory)
 {
-    return [all = directory.all(), at = std::size_t{0},
+    return [all = directory.all(), next = std::size_t{0},
             is_done = false](peer::Frame& frame) mutable
     {
         if (is_done)
             return false;
         peer::Targets& message = *frame.mutable_targets();
-        const std::size_t end = std::min(at + targets_in_part, all.size());
-        for (; at < end; ++at)
-            write_target(all[at], *message.add_targets());
-        is_done = at == all.size();
+        const std::size_t end = std::min(next + targets_per_part, all.size());
+        for (; next < end; ++next)
+            write_target(all[next], *message.add_targets());
+        is_done = next == all.size();
         message.set_has_more(!is_done);
         return true;
     };
@@ -190,27 +191,27 @@
 take_targets(const peer::Targets& message,
              decision::target_directory& directory)
 {
-    std::vector<decision::listed_target> news;
-    for (const peer::Target& one : message.targets())
+    std::vector<decision::listed_target> new_targets;
+    for (const peer::Target& received : message.targets())
     {
         // Another entry may validate addresses less strictly than this one.
-        if (one.is_removed() || !is_address(one.address()))
+        if (received.is_removed() || !is_address(received.address()))
         {
-            directory.note_gone(one.id(), one.revision());
+            directory.note_gone(received.id(), received.revision());
             continue;
         }
-        decision::listed_target target{{one.id(), one.born()},
-                                       one.service(),
-                                       one.address(),
-                                       one.zone(),
-                                       one.slots(),
-                                       one.is_leaving(),
-                                       one.revision(),
-                                       duration(one.cold_for_ns())};
+        decision::listed_target target{{received.id(), received.born()},
+                                       received.service(),
+                                       received.address(),
+                                       received.zone(),
+                                       received.slots(),
+                                       received.is_leaving(),
+                                       received.revision(),
+                                       duration(received.cold_for_ns())};
         if (directory.note(target))
-            news.push_back(std::move(target));
+            new_targets.push_back(std::move(target));
     }
-    return news;
+    return new_targets;
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -22,7 +22,7 @@
 decision::stage_job job_of(const peer::Job& message, instant now);
 
 /// Writes a target end into a message, with times relative to \a now.
-void write_end(const decision::target_end& one, instant now,
+void write_end(const decision::target_end& target_end, instant now,
                peer::TargetEnd& message);
 decision::target_end end_of(const peer::TargetEnd& message, instant now);
 
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -13,15 +13,16 @@
 /// Copies of the catalog or the target list that one entry sends at a time. Two
 /// share the rate of the link; a third entry gets its copy sooner from the one
 /// that has the first.
-constexpr std::size_t most_copies = 2;
+constexpr std::size_t max_copies = 2;
 
 } // namespace
 
-peer_server::peer_server(entry_context& context, gatherer& own, arrival arrived,
-                         holding_source holding, text_source catalog_text)
-    : m_context(context), m_gatherer(own), m_arrived(std::move(arrived)),
-      m_holding(std::move(holding)), m_catalog_text(std::move(catalog_text)),
-      m_acceptor(context.loop)
+peer_server::peer_server(entry_context& context, gatherer& batcher,
+                         arrival on_hello, holding_source holding,
+                         text_source catalog_text)
+    : m_context(context), m_batcher(batcher),
+      m_hello_handler(std::move(on_hello)), m_holding(std::move(holding)),
+      m_catalog_text(std::move(catalog_text)), m_acceptor(context.loop)
 {
     listen_at(m_acceptor, context.settings.peers);
 }
@@ -40,55 +41,55 @@
 
 awaitable<void> peer_server::serve(frame_socket_ptr socket)
 {
-    const auto one = std::make_shared<asker>(m_context, socket);
+    const auto client = std::make_shared<client_entry>(m_context, socket);
     while (auto frame = co_await socket->read())
-        take(*frame, one);
-    for (auto& [number, is_wanted] : one->jobs)
+        handle_frame(*frame, client);
+    for (auto& [number, is_wanted] : client->jobs)
         *is_wanted = false;
 }
 
-void peer_server::take_ping(const peer::Ping& ping, asker& from)
+void peer_server::handle_ping(const peer::Ping& ping, client_entry& client)
 {
-    take_ends(m_context, ping.news(), from.address);
-    from.news.note_theirs(ping.holding().ends_summary());
-    if (m_asker_notice)
-        m_asker_notice(from.address, ping.holding());
+    take_ends(m_context, ping.news(), client.address);
+    client.target_ends.note_theirs(ping.holding().ends_summary());
+    if (m_ping_handler)
+        m_ping_handler(client.address, ping.holding());
     peer::Frame reply;
     *reply.mutable_pong()->mutable_holding() =
         m_holding(ping.holding().known());
-    from.news.write(*reply.mutable_pong()->mutable_news());
-    from.socket->send(reply);
+    client.target_ends.write(*reply.mutable_pong()->mutable_news());
+    client.socket->send(reply);
 }
 
-void peer_server::take(const peer::Frame& frame,
-                       const std::shared_ptr<asker>& from)
+void peer_server::handle_frame(const peer::Frame& frame,
+                               const std::shared_ptr<client_entry>& client)
 {
-    const frame_socket_ptr& socket = from->socket;
-    asked_jobs& asked = from->jobs;
+    const frame_socket_ptr& socket = client->socket;
+    wanted_jobs& jobs = client->jobs;
     switch (frame.content_case())
     {
     case peer::Frame::kHello:
-        from->address = frame.hello().address();
-        return m_arrived(from->address);
+        client->address = frame.hello().address();
+        return m_hello_handler(client->address);
     case peer::Frame::kPing:
-        return take_ping(frame.ping(), *from);
+        return handle_ping(frame.ping(), *client);
     case peer::Frame::kEnds:
-        return take_ends(m_context, frame.ends(), from->address);
+        return take_ends(m_context, frame.ends(), client->address);
     case peer::Frame::kWant:
-        return take_want(frame.want(), socket);
+        return handle_want(frame.want(), socket);
     case peer::Frame::kJob:
-        return take_job(frame.job(), from);
+        return handle_job(frame.job(), client);
     case peer::Frame::kJobDropped:
     {
-        const auto found = asked.find(frame.job_dropped().number());
-        if (found != asked.end())
+        const auto found = jobs.find(frame.job_dropped().number());
+        if (found != jobs.end())
             *found->second = false;
         return;
     }
     case peer::Frame::kRelease:
-        return m_gatherer.release(frame.release().service(),
-                                  {frame.release().handles().begin(),
-                                   frame.release().handles().end()});
+        return m_batcher.release(frame.release().service(),
+                                 {frame.release().handles().begin(),
+                                  frame.release().handles().end()});
     default:
         return;
     }
@@ -97,28 +98,28 @@
 // All entries that start at once ask the first ones that hold a list. If the
 // list is sent to all of them, each copy takes seconds of the sender's link,
 // and responses to its callers wait behind the copies.
-bool peer_server::admits_copy(const frame_socket_ptr& socket)
+bool peer_server::try_start_copy(const frame_socket_ptr& socket)
 {
-    std::erase_if(m_copied_to,
-                  [&socket](const auto& one)
+    std::erase_if(m_copy_sockets,
+                  [&socket](const auto& copy)
                   {
-                      const frame_socket_ptr other = one.lock();
+                      const frame_socket_ptr other = copy.lock();
                       return !other || other == socket ||
                              !other->is_sending_parts();
                   });
-    if (m_copied_to.size() >= most_copies)
+    if (m_copy_sockets.size() >= max_copies)
         return false;
-    m_copied_to.push_back(socket);
+    m_copy_sockets.push_back(socket);
     return true;
 }
 
-void peer_server::take_want(const peer::Want& want,
-                            const frame_socket_ptr& socket)
+void peer_server::handle_want(const peer::Want& want,
+                              const frame_socket_ptr& socket)
 {
     if (!want.targets() && !want.catalog())
         return socket->drop_parts();
     peer::Frame reply;
-    if (want.in_parts() && !admits_copy(socket))
+    if (want.in_parts() && !try_start_copy(socket))
     {
         m_context.count("copies_declined", "what",
                         want.targets() ? "targets" : "catalog");
@@ -136,29 +137,29 @@
     socket->send(reply);
 }
 
-void peer_server::take_job(const peer::Job& message,
-                           const std::shared_ptr<asker>& from)
+void peer_server::handle_job(const peer::Job& message,
+                             const std::shared_ptr<client_entry>& client)
 {
-    const frame_socket_ptr& socket = from->socket;
-    asked_jobs& asked = from->jobs;
-    std::erase_if(asked, [](const auto& one) { return !*one.second; });
+    const frame_socket_ptr& socket = client->socket;
+    wanted_jobs& jobs = client->jobs;
+    std::erase_if(jobs, [](const auto& job) { return !*job.second; });
     const auto is_wanted = std::make_shared<bool>(true);
-    asked[message.number()] = is_wanted;
-    m_gatherer.add(
+    jobs[message.number()] = is_wanted;
+    m_batcher.add(
         message.service(), job_of(message, m_context.now()),
-        [from, is_wanted, number = message.number()](piece_outcome outcome)
+        [client, is_wanted, number = message.number()](piece_outcome outcome)
         {
-            const bool is_taken = *is_wanted && from->socket->is_open();
+            const bool is_taken = *is_wanted && client->socket->is_open();
             *is_wanted = false;
             if (!is_taken)
                 return false;
             // Targets may have ended while they ran this job; the entry that
             // submitted it must learn of them before it submits the job again.
-            peer::Frame news;
+            peer::Frame ends_frame;
             if (outcome.end == decision::job_status::failed &&
-                from->news.write(*news.mutable_ends()))
-                from->socket->send(news);
-            from->socket->send(job_end_frame(number, outcome));
+                client->target_ends.write(*ends_frame.mutable_ends()))
+                client->socket->send(ends_frame);
+            client->socket->send(job_end_frame(number, outcome));
             return true;
         },
         [is_wanted] { return *is_wanted; },
--- a/packages/serving/peer_server.hpp
+++ b/packages/serving/peer_server.hpp
@@ -23,18 +23,19 @@
     using text_source = std::function<std::shared_ptr<const std::string>()>;
     /// Returns the state of this entry, for an entry that knows \a known
     /// entries.
-    using holding_source = std::function<peer::Holding(std::size_t known)>;
+    using holding_source =
+        std::function<peer::Holding(std::size_t known_entries)>;
 
     /// Receives the state that an entry sends with its pings.
     using asker_notice = std::function<void(const std::string& address,
-                                            const peer::Holding& theirs)>;
+                                            const peer::Holding& peer_state)>;
 
-    peer_server(entry_context& context, gatherer& own, arrival arrived,
+    peer_server(entry_context& context, gatherer& batcher, arrival on_hello,
                 holding_source holding, text_source catalog_text);
 
-    void set_asker_notice(asker_notice notice)
+    void set_asker_notice(asker_notice handler)
     {
-        m_asker_notice = std::move(notice);
+        m_ping_handler = std::move(handler);
     }
 
     /// Accepts connections until the process ends.
@@ -43,38 +44,40 @@
 private:
     /// The jobs that a connected entry has submitted, by the numbers that it
     /// gave them. True while the job is still wanted.
-    using asked_jobs = std::map<std::uint64_t, std::shared_ptr<bool>>;
+    using wanted_jobs = std::map<std::uint64_t, std::shared_ptr<bool>>;
 
     /// One connected entry.
-    struct asker
+    struct client_entry
     {
-        asker(entry_context& context, frame_socket_ptr its_socket)
-            : socket(std::move(its_socket)), news(context)
+        client_entry(entry_context& context, frame_socket_ptr client_socket)
+            : socket(std::move(client_socket)), target_ends(context)
         {
         }
 
         frame_socket_ptr socket;
         std::string address; ///< From its hello message; empty before.
-        asked_jobs jobs;
-        end_news news;
+        wanted_jobs jobs;
+        end_news target_ends;
     };
 
     awaitable<void> serve(frame_socket_ptr socket);
-    void take(const peer::Frame& frame, const std::shared_ptr<asker>& from);
-    void take_ping(const peer::Ping& ping, asker& from);
-    void take_want(const peer::Want& want, const frame_socket_ptr& socket);
-    bool admits_copy(const frame_socket_ptr& socket);
-    void take_job(const peer::Job& message, const std::shared_ptr<asker>& from);
+    void handle_frame(const peer::Frame& frame,
+                      const std::shared_ptr<client_entry>& client);
+    void handle_ping(const peer::Ping& ping, client_entry& client);
+    void handle_want(const peer::Want& want, const frame_socket_ptr& socket);
+    bool try_start_copy(const frame_socket_ptr& socket);
+    void handle_job(const peer::Job& message,
+                    const std::shared_ptr<client_entry>& client);
 
     entry_context& m_context;
-    gatherer& m_gatherer;
-    arrival m_arrived;
+    gatherer& m_batcher;
+    arrival m_hello_handler;
     holding_source m_holding;
     text_source m_catalog_text;
-    asker_notice m_asker_notice;
+    asker_notice m_ping_handler;
     tcp::acceptor m_acceptor;
-    std::vector<std::weak_ptr<frame_socket>>
-        m_copied_to; ///< Copies in progress.
+    /// Copies in progress.
+    std::vector<std::weak_ptr<frame_socket>> m_copy_sockets;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/piece_maker.hpp
+++ b/packages/serving/piece_maker.hpp
@@ -16,8 +16,8 @@
 {
     decision::job_status end = decision::job_status::failed;
     std::vector<std::string> handles;
-    bool was_late = false; ///< Whether the request was already late when the
-                           ///< job was started.
+    /// Whether the request was already late when the job was started.
+    bool was_late = false;
 
     friend bool operator==(const piece_outcome&,
                            const piece_outcome&) = default;
@@ -72,7 +72,7 @@
     /// Has targets of \a service execute \a job. \a pending always receives an
     /// outcome, at the latest soon after the job has expired.
     virtual void make(const std::string& service, decision::stage_job job,
-                      piece_wait_ptr wait) = 0;
+                      piece_wait_ptr pending) = 0;
 
     /// Releases results of \a service, which their targets then delete.
     virtual void release(const std::string& service,
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -10,16 +10,18 @@
 
 /// How long after a job has expired its outcome is still awaited; the entry
 /// that executes the job reports an outcome by then.
-constexpr duration outcome_slack = std::chrono::milliseconds(100);
+constexpr duration outcome_grace = std::chrono::milliseconds(100);
 
 } // namespace
 
 stage_runner::stage_runner(entry_context& context, const catalog::route& route,
                            const request_facts& facts,
                            const decision::digest& content, std::string zone,
-                           duration yields, instant due, instant expires)
+                           duration priority_delay, instant due,
+                           instant expires)
     : m_context(context), m_route(route), m_facts(facts), m_content(content),
-      m_zone(std::move(zone)), m_yields(yields), m_due(due), m_expires(expires),
+      m_zone(std::move(zone)), m_priority_delay(priority_delay), m_due(due),
+      m_expires(expires),
       m_changed(std::make_shared<signal_point>(context.loop)),
       m_states(route.stages.size())
 {
@@ -30,27 +32,32 @@
 
 bool stage_runner::can_start(std::size_t index) const
 {
-    if (m_states[index].now != step::waiting)
+    if (m_states[index].status != stage_status::waiting)
         return false;
     const auto& after = m_route.stages[index].after;
-    const bool has_inputs = std::all_of(
-        after.begin(), after.end(),
-        [this](std::size_t one) { return m_states.at(one).now == step::done; });
+    const bool has_inputs =
+        std::all_of(after.begin(), after.end(),
+                    [this](std::size_t input) {
+                        return m_states.at(input).status == stage_status::done;
+                    });
     // A stage beside a longer chain waits until the rest of that chain is as
     // short as its own: results made earlier would only take up memory.
-    return has_inputs && way_to_end(index).size() >= longest_way_left();
+    return has_inputs &&
+           longest_path_from(index).size() >= longest_remaining_path();
 }
 
-std::size_t stage_runner::longest_way_left() const
+std::size_t stage_runner::longest_remaining_path() const
 {
     std::size_t longest = 0;
     for (std::size_t index = 0; index < m_states.size(); ++index)
-        if (m_states[index].now != step::done && m_states[index].pieces > 0)
-            longest = std::max(longest, way_to_end(index).size());
+        if (m_states[index].status != stage_status::done &&
+            m_states[index].pieces > 0)
+            longest = std::max(longest, longest_path_from(index).size());
     return longest;
 }
 
-std::vector<std::size_t> stage_runner::way_to_end(std::size_t index) const
+std::vector<std::size_t>
+stage_runner::longest_path_from(std::size_t index) const
 {
     std::vector<std::size_t> longest;
     for (std::size_t next = index + 1; next < m_states.size(); ++next)
@@ -59,22 +66,24 @@
         if (m_states[next].pieces == 0 ||
             std::find(needs.begin(), needs.end(), index) == needs.end())
             continue;
-        std::vector<std::size_t> way = way_to_end(next);
-        if (way.size() > longest.size())
-            longest = std::move(way);
+        std::vector<std::size_t> path = longest_path_from(next);
+        if (path.size() > longest.size())
+            longest = std::move(path);
     }
     longest.insert(longest.begin(), index);
     return longest;
 }
 
-bool stage_runner::has_begun() const
+bool stage_runner::has_started() const
 {
     return std::any_of(m_states.begin(), m_states.end(),
-                       [](const state& one)
-                       { return one.pieces > 0 && one.now != step::waiting; });
+                       [](const stage_state& state) {
+                           return state.pieces > 0 &&
+                                  state.status != stage_status::waiting;
+                       });
 }
 
-bool stage_runner::is_followed(std::size_t index) const
+bool stage_runner::has_dependents(std::size_t index) const
 {
     for (std::size_t other = 0; other < m_states.size(); ++other)
     {
@@ -86,12 +95,12 @@
     return false;
 }
 
-std::vector<std::string> stage_runner::inputs_of(std::size_t index) const
+std::vector<std::string> stage_runner::input_handles(std::size_t index) const
 {
     std::vector<std::string> inputs;
-    for (const std::size_t one : m_route.stages[index].after)
+    for (const std::size_t input : m_route.stages[index].after)
     {
-        const auto& handles = m_states.at(one).handles;
+        const auto& handles = m_states.at(input).handles;
         inputs.insert(inputs.end(), handles.begin(), handles.end());
     }
     return inputs;
@@ -99,92 +108,92 @@
 
 // A stage preferably runs where its inputs are, and a first stage where the
 // request will run.
-std::string stage_runner::zone_of(const catalog::stage& stage) const
+std::string stage_runner::preferred_zone(const catalog::stage& stage) const
 {
-    for (const std::size_t one : stage.after)
+    for (const std::size_t input : stage.after)
     {
-        const auto& handles = m_states.at(one).handles;
+        const auto& handles = m_states.at(input).handles;
         if (handles.empty())
             continue;
-        const std::string where = m_context.speech.maker_of(handles.front());
-        for (const auto* maker :
-             m_context.directory.serving(m_route.stages[one].service))
-            if (maker->address == where)
-                return maker->zone;
+        const std::string address = m_context.speech.maker_of(handles.front());
+        for (const auto* target :
+             m_context.directory.serving(m_route.stages[input].service))
+            if (target->address == address)
+                return target->zone;
     }
     return m_zone;
 }
 
 void stage_runner::start_stage(std::size_t index)
 {
-    state& own = m_states[index];
+    stage_state& state = m_states[index];
     const catalog::stage& stage = m_route.stages[index];
-    if (own.pieces == 0)
+    if (state.pieces == 0)
     {
-        own.now = step::done;
+        state.status = stage_status::done;
         return;
     }
     // Evaluated before this stage itself counts as running.
-    const bool is_begun = has_begun();
-    own.now = step::running;
-    own.wait = std::make_shared<piece_wait>(m_changed);
+    const bool is_request_started = has_started();
+    state.status = stage_status::running;
+    state.pending = std::make_shared<piece_wait>(m_changed);
     decision::stage_job job;
     job.request = m_facts.id;
     job.content = m_content;
     job.stage = static_cast<std::uint32_t>(index);
-    job.pieces = own.pieces;
+    job.pieces = state.pieces;
     job.result_bytes = stage.result_bytes;
-    job.zone = zone_of(stage);
-    job.priority_delay = m_yields;
+    job.zone = preferred_zone(stage);
+    job.priority_delay = m_priority_delay;
     job.due = m_due;
     job.expires = m_expires;
-    job.is_started = is_begun;
+    job.is_started = is_request_started;
     job.is_late = m_is_late;
-    for (const std::size_t one : way_to_end(index))
-        if (one != index)
+    for (const std::size_t later : longest_path_from(index))
+        if (later != index)
             job.downstream.push_back(
-                {m_route.stages[one].service, m_states[one].pieces});
+                {m_route.stages[later].service, m_states[later].pieces});
     if (stage.after.empty())
         job.key = m_facts.piece_key;
     else
-        job.inputs = inputs_of(index);
-    for (const std::size_t one : stage.after)
+        job.inputs = input_handles(index);
+    for (const std::size_t input : stage.after)
         job.input_bytes +=
-            m_route.stages.at(one).result_bytes * m_states.at(one).pieces;
-    m_context.pieces->make(stage.service, std::move(job), own.wait);
+            m_route.stages.at(input).result_bytes * m_states.at(input).pieces;
+    m_context.pieces->make(stage.service, std::move(job), state.pending);
 }
 
-std::optional<decision::job_status> stage_runner::take_ended()
+std::optional<decision::job_status> stage_runner::collect_outcomes()
 {
-    for (state& one : m_states)
+    for (stage_state& state : m_states)
     {
-        if (one.now != step::running || !one.wait->outcome())
+        if (state.status != stage_status::running || !state.pending->outcome())
             continue;
-        const piece_outcome& outcome = *one.wait->outcome();
-        one.handles = outcome.handles;
+        const piece_outcome& outcome = *state.pending->outcome();
+        state.handles = outcome.handles;
         m_is_late = m_is_late || outcome.was_late;
         if (outcome.end != decision::job_status::completed)
             return outcome.end;
-        one.now = step::done;
-        one.done_at = m_context.now();
+        state.status = stage_status::done;
+        state.done_at = m_context.now();
     }
     return std::nullopt;
 }
 
-bool stage_runner::is_fetched(std::size_t index) const
+bool stage_runner::has_fetched_inputs(std::size_t index) const
 {
-    const state& one = m_states[index];
-    return one.now == step::running && one.wait->is_fetched();
+    const stage_state& state = m_states[index];
+    return state.status == stage_status::running && state.pending->is_fetched();
 }
 
 // Memory for results is scarce: each result is released as soon as all stages
 // that need it are done.
-void stage_runner::release_used()
+void stage_runner::release_consumed()
 {
     for (std::size_t index = 0; index < m_states.size(); ++index)
     {
-        state& own = m_states[index];
-        if (own.handles.empty() || !is_followed(index))
+        stage_state& state = m_states[index];
+        if (state.handles.empty() || !has_dependents(index))
             continue;
         bool is_needed = false;
         for (std::size_t other = 0; other < m_states.size(); ++other)
@@ -192,19 +201,21 @@
             const auto& after = m_route.stages[other].after;
             is_needed =
                 is_needed ||
-                (m_states[other].now != step::done && !is_fetched(other) &&
+                (m_states[other].status != stage_status::done &&
+                 !has_fetched_inputs(other) &&
                  std::find(after.begin(), after.end(), index) != after.end());
         }
         if (!is_needed)
             m_context.pieces->release(m_route.stages[index].service,
-                                      std::exchange(own.handles, {}));
+                                      std::exchange(state.handles, {}));
     }
 }
 
 bool stage_runner::is_done() const
 {
     return std::all_of(m_states.begin(), m_states.end(),
-                       [](const state& one) { return one.now == step::done; });
+                       [](const stage_state& state)
+                       { return state.status == stage_status::done; });
 }
 
 awaitable<decision::job_status> stage_runner::run()
@@ -214,36 +225,36 @@
         for (std::size_t index = 0; index < m_states.size(); ++index)
             if (can_start(index))
                 start_stage(index);
-        if (const auto bad = take_ended())
-            co_return *bad;
-        release_used();
+        if (const auto failure = collect_outcomes())
+            co_return *failure;
+        release_consumed();
         if (is_done())
             co_return decision::job_status::completed;
         const bool may_start =
             std::any_of(m_states.begin(), m_states.end(),
-                        [this](const state& one) {
+                        [this](const stage_state& state) {
                             return can_start(static_cast<std::size_t>(
-                                &one - m_states.data()));
+                                &state - m_states.data()));
                         });
         if (may_start)
             continue;
         const instant now = m_context.now();
-        if (m_is_aborted || now >= m_expires + outcome_slack)
+        if (m_is_aborted || now >= m_expires + outcome_grace)
             co_return decision::job_status::expired;
-        co_await m_changed->wait(m_expires + outcome_slack - now);
+        co_await m_changed->wait(m_expires + outcome_grace - now);
     }
 }
 
 std::string stage_runner::done_after(instant began) const
 {
     std::string text;
-    for (const state& one : m_states)
+    for (const stage_state& state : m_states)
     {
-        if (one.done_at == instant{})
+        if (state.done_at == instant{})
             continue;
         if (!text.empty())
             text += ' ';
-        text += std::to_string(whole_milliseconds(one.done_at - began));
+        text += std::to_string(whole_milliseconds(state.done_at - began));
     }
     return text;
 }
@@ -258,7 +269,7 @@
 {
     std::vector<std::string> handles;
     for (std::size_t index = 0; index < m_states.size(); ++index)
-        if (!is_followed(index))
+        if (!has_dependents(index))
             handles.insert(handles.end(), m_states[index].handles.begin(),
                            m_states[index].handles.end());
     return handles;
@@ -269,16 +280,16 @@
     std::map<std::string, std::uint64_t> bytes;
     for (std::size_t index = 0; index < m_states.size(); ++index)
     {
-        if (is_followed(index))
+        if (has_dependents(index))
             continue;
         const catalog::stage& stage = m_route.stages[index];
         const auto& makers = m_context.directory.serving(stage.service);
         for (const std::string& handle : m_states[index].handles)
         {
-            const std::string where = m_context.speech.maker_of(handle);
-            for (const auto* maker : makers)
-                if (maker->address == where)
-                    bytes[maker->zone] += stage.result_bytes;
+            const std::string address = m_context.speech.maker_of(handle);
+            for (const auto* target : makers)
+                if (target->address == address)
+                    bytes[target->zone] += stage.result_bytes;
         }
     }
     return bytes;
@@ -288,12 +299,12 @@
 {
     for (std::size_t index = 0; index < m_states.size(); ++index)
     {
-        state& own = m_states[index];
-        if (own.wait)
-            own.wait->drop();
-        if (!own.handles.empty())
+        stage_state& state = m_states[index];
+        if (state.pending)
+            state.pending->drop();
+        if (!state.handles.empty())
             m_context.pieces->release(m_route.stages[index].service,
-                                      std::exchange(own.handles, {}));
+                                      std::exchange(state.handles, {}));
     }
 }
 
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -20,7 +20,7 @@
 public:
     stage_runner(entry_context& context, const catalog::route& route,
                  const request_facts& facts, const decision::digest& content,
-                 std::string zone, duration yields, instant due,
+                 std::string zone, duration priority_delay, instant due,
                  instant expires);
     stage_runner(const stage_runner&) = delete;
     stage_runner& operator=(const stage_runner&) = delete;
@@ -52,55 +52,55 @@
     void release();
 
 private:
-    enum class step : std::uint8_t
+    enum class stage_status : std::uint8_t
     {
         waiting,
         running,
         done
     };
 
-    struct state
+    struct stage_state
     {
-        step now = step::waiting;
+        stage_status status = stage_status::waiting;
         std::uint32_t pieces = 0;
-        piece_wait_ptr wait;
+        piece_wait_ptr pending;
         std::vector<std::string> handles;
-        bool is_used =
-            false; ///< Whether all dependents are done with the results.
+        /// Whether all dependents are done with the results.
+        bool is_used = false;
         instant done_at{};
     };
 
     bool can_start(std::size_t index) const;
-    bool has_begun() const;
-    bool is_followed(std::size_t index) const;
+    bool has_started() const;
+    bool has_dependents(std::size_t index) const;
     void start_stage(std::size_t index);
-    std::vector<std::string> inputs_of(std::size_t index) const;
-    std::string zone_of(const catalog::stage& stage) const;
+    std::vector<std::string> input_handles(std::size_t index) const;
+    std::string preferred_zone(const catalog::stage& stage) const;
     /// Collects the outcomes of jobs that have ended. Returns the status of the
     /// first job that did not complete.
-    std::optional<decision::job_status> take_ended();
-    bool is_fetched(std::size_t index) const;
-    void release_used();
+    std::optional<decision::job_status> collect_outcomes();
+    bool has_fetched_inputs(std::size_t index) const;
+    void release_consumed();
     bool is_done() const;
     /// Returns the stages on the longest path from a stage to the end, with
     /// that stage first.
-    std::vector<std::size_t> way_to_end(std::size_t index) const;
-    std::size_t longest_way_left() const;
+    std::vector<std::size_t> longest_path_from(std::size_t index) const;
+    std::size_t longest_remaining_path() const;
 
     entry_context& m_context;
     const catalog::route& m_route;
     const request_facts& m_facts;
     decision::digest m_content;
-    std::string
-        m_zone; ///< The zone in which the request itself will probably run.
-    duration m_yields;
+    /// The zone in which the request itself will probably run.
+    std::string m_zone;
+    duration m_priority_delay;
     instant m_due;
     instant m_expires;
     std::shared_ptr<signal_point> m_changed;
-    std::vector<state> m_states;
+    std::vector<stage_state> m_states;
     bool m_is_aborted = false;
-    bool m_is_late =
-        false; ///< Whether a job was already late when it was started.
+    /// Whether a job was already late when it was started.
+    bool m_is_late = false;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/target_losses.cpp
+++ b/packages/serving/target_losses.cpp
@@ -11,16 +11,16 @@
 
 /// Target ends sent in one message. At 60 bytes each they take 6 KB, which
 /// delays responses to callers on a link of 10 Mbit/s by 5 ms.
-constexpr std::size_t told_at_once = 100;
+constexpr std::size_t max_ends_per_message = 100;
 
-constexpr std::size_t worth_a_line = 2;
+constexpr std::size_t min_logged_ends = 2;
 
 void log_quarantined(const decision::digest& content,
                      const decision::target_ends::finding& found)
 {
     std::string targets;
-    for (const decision::target_start& one : found.targets)
-        targets += (targets.empty() ? "" : ",") + one.id;
+    for (const decision::target_start& target : found.targets)
+        targets += (targets.empty() ? "" : ",") + target.id;
     runtime::event("content_quarantined")
         .with("content", to_text(content))
         .with("ends", found.ends())
@@ -31,27 +31,28 @@
 
 /// Logs \a target_end if this entry saw it itself, or if several ends are known
 /// for the same content.
-void log_end(entry_context& context, const decision::target_end& one,
-             std::size_t ends_before, const std::string& request,
-             const std::string& from)
+void log_target_end(entry_context& context,
+                    const decision::target_end& target_end,
+                    std::size_t ends_before, const std::string& request,
+                    const std::string& from)
 {
-    if (one.is_claim)
+    if (target_end.is_claim)
         return;
-    const auto found = context.quarantine.ends().against(one.content);
-    if (!request.empty() || found.ends() >= worth_a_line)
+    const auto found = context.quarantine.ends().against(target_end.content);
+    if (!request.empty() || found.ends() >= min_logged_ends)
         runtime::event("target_ended")
-            .with("target", one.target.id)
-            .with("born", one.target.born)
-            .with("content", to_text(one.content))
+            .with("target", target_end.target.id)
+            .with("born", target_end.target.born)
+            .with("content", to_text(target_end.content))
             .with("request", request)
             .with("from", from)
-            .with("refuted", one.is_refuted ? 1 : 0)
+            .with("refuted", target_end.is_refuted ? 1 : 0)
             .with("ends", found.ends())
             .warn();
     if (ends_before >= decision::quarantine::most_ends ||
         found.ends() < decision::quarantine::most_ends)
         return;
-    log_quarantined(one.content, found);
+    log_quarantined(target_end.content, found);
     ++context.metrics.count({"contents_quarantined", ""});
 }
 
@@ -65,28 +66,31 @@
 
 } // namespace
 
-void note_target_end(entry_context& context, const decision::target_end& one,
+void note_target_end(entry_context& context,
+                     const decision::target_end& target_end,
                      const std::string& request)
 {
-    if (context.directory.is_leaving(one.target))
+    if (context.directory.is_leaving(target_end.target))
         return;
-    decision::quarantine& known = context.quarantine;
-    const std::size_t before = known.ends().against(one.content).ends();
-    if (!known.note_end(one, context.now()))
+    decision::quarantine& quarantine = context.quarantine;
+    const std::size_t ends_before =
+        quarantine.ends().against(target_end.content).ends();
+    if (!quarantine.note_end(target_end, context.now()))
         return;
     ++context.metrics.count({"target_ends", ""});
-    log_end(context, one, before, request, "own");
+    log_target_end(context, target_end, ends_before, request, "own");
 }
 
 void note_served(entry_context& context, const decision::digest& content)
 {
-    decision::quarantine& known = context.quarantine;
-    const std::size_t before = known.ends().against(content).ends();
-    count_refuted(context, known.note_served(content, context.now()), "served");
-    if (before >= worth_a_line)
+    decision::quarantine& quarantine = context.quarantine;
+    const std::size_t ends_before = quarantine.ends().against(content).ends();
+    count_refuted(context, quarantine.note_served(content, context.now()),
+                  "served");
+    if (ends_before >= min_logged_ends)
         runtime::event("content_served")
             .with("content", to_text(content))
-            .with("ends_before", before)
+            .with("ends_before", ends_before)
             .info();
 }
 
@@ -105,10 +109,11 @@
     decision::target_ends& ends = context.quarantine.ends();
     for (const peer::TargetEnd& message_end : message.ends())
     {
-        const decision::target_end one = end_of(message_end, context.now());
-        const std::size_t before = ends.against(one.content).ends();
-        if (ends.note(one, context.now()))
-            log_end(context, one, before, {}, from);
+        const decision::target_end target_end =
+            end_of(message_end, context.now());
+        const std::size_t ends_before = ends.against(target_end.content).ends();
+        if (ends.note(target_end, context.now()))
+            log_target_end(context, target_end, ends_before, {}, from);
     }
 }
 
@@ -118,9 +123,9 @@
     if (m_theirs == ends.summary())
         return false;
     const instant now = m_context.now();
-    for (const decision::target_end& one :
-         ends.since(m_told, told_at_once, now))
-        write_end(one, now, *message.add_ends());
+    for (const decision::target_end& target_end :
+         ends.since(m_sent, max_ends_per_message, now))
+        write_end(target_end, now, *message.add_ends());
     return message.ends_size() > 0;
 }
 
--- a/packages/serving/target_losses.hpp
+++ b/packages/serving/target_losses.hpp
@@ -10,7 +10,8 @@
 
 /// Records that \a target_end happened while \a request was in progress at the
 /// target, unless the target was leaving, which no request causes.
-void note_target_end(entry_context& context, const decision::target_end& one,
+void note_target_end(entry_context& context,
+                     const decision::target_end& target_end,
                      const std::string& request);
 
 /// Records that a target ran \a content to completion.
@@ -32,7 +33,7 @@
     explicit end_news(entry_context& context) : m_context(context) {}
 
     /// Starts over for a new connection, on which nothing was sent yet.
-    void begin_anew() { m_theirs = m_told = 0; }
+    void begin_anew() { m_theirs = m_sent = 0; }
 
     /// Sets the other entry's target_ends::summary(), which shows whether it
     /// knows the same ends.
@@ -45,7 +46,7 @@
 private:
     entry_context& m_context;
     std::uint64_t m_theirs = 0;
-    std::uint64_t m_told = 0;
+    std::uint64_t m_sent = 0;
 };
 
 } // namespace mangofold::serving
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-struct quiet_listener : peer_listener
+struct recording_listener : peer_listener
 {
     peer::Holding holding() const override { return {}; }
     peer::Want note_holding(const std::string&, const peer::Holding&) override
@@ -25,7 +25,7 @@
         return watch;
     }
     void note_declined(const std::string&) override {}
-    void note_lost(const std::string&) override { ++losses; }
+    void note_lost(const std::string&) override { ++lost_count; }
     void take_catalog(const std::string&, const std::string& text) override
     {
         catalogs.push_back(text);
@@ -34,14 +34,14 @@
     void take_targets(const std::string&, const peer::Targets&) override {}
     void take_back(std::vector<orphaned_job> jobs) override
     {
-        taken_back += jobs.size();
+        jobs_taken_back += jobs.size();
     }
 
     decision::entry_roster::watch watch{1s, 10s};
     std::vector<std::string> catalogs;
     std::size_t parts = 0;
-    std::size_t losses = 0;
-    std::size_t taken_back = 0;
+    std::size_t lost_count = 0;
+    std::size_t jobs_taken_back = 0;
 };
 
 struct link_fixture : test::serving_fixture
@@ -60,7 +60,7 @@
         run_until([&] { return other.asked.size() == 1; });
     }
 
-    quiet_listener listener;
+    recording_listener listener;
     test::played_entry other;
     std::shared_ptr<peer_link> link;
     piece_wait_ptr wait;
@@ -74,15 +74,15 @@
 // much memory the other has reserved there.
 TEST_CASE("jobs stay with an entry whose connection was only reset")
 {
-    link_fixture one;
-    one.time.advance(600ms);
-    one.settle();
-    one.other.connection->close();
-    one.run_until([&] { return one.other.asked.size() == 2; });
-    CHECK(one.other.asked[1] == "r1");
-    CHECK(one.listener.losses == 0);
-    CHECK(one.listener.taken_back == 0);
-    CHECK(one.link->is_alive());
+    link_fixture fixture;
+    fixture.time.advance(600ms);
+    fixture.settle();
+    fixture.other.connection->close();
+    fixture.run_until([&] { return fixture.other.asked.size() == 2; });
+    CHECK(fixture.other.asked[1] == "r1");
+    CHECK(fixture.listener.lost_count == 0);
+    CHECK(fixture.listener.jobs_taken_back == 0);
+    CHECK(fixture.link->is_alive());
 }
 
 namespace
@@ -125,7 +125,7 @@
 TEST_CASE("an entry that still sends bytes counts as alive")
 {
     test::serving_fixture entry;
-    quiet_listener listener;
+    recording_listener listener;
     listener.watch = {100ms, 500ms};
     slow_entry other(entry.loop);
     const auto link = std::make_shared<peer_link>(
@@ -140,7 +140,7 @@
         entry.time.advance(100ms);
         entry.settle();
     }
-    CHECK(listener.losses == 0);
+    CHECK(listener.lost_count == 0);
     entry.time.advance(100ms);
     for (int step = 0; step < 6; ++step)
     {
@@ -148,36 +148,36 @@
         entry.time.advance(100ms);
     }
     entry.settle();
-    CHECK(listener.losses == 1);
+    CHECK(listener.lost_count == 1);
 }
 
 TEST_CASE("jobs of an unreachable entry are taken back at once")
 {
-    link_fixture one;
-    one.time.advance(600ms);
-    one.settle();
-    one.other.acceptor.close();
-    one.other.connection->close();
-    one.run_until([&] { return one.listener.taken_back == 1; });
-    CHECK(one.listener.losses == 1);
-    CHECK_FALSE(one.link->is_alive());
+    link_fixture fixture;
+    fixture.time.advance(600ms);
+    fixture.settle();
+    fixture.other.acceptor.close();
+    fixture.other.connection->close();
+    fixture.run_until([&] { return fixture.listener.jobs_taken_back == 1; });
+    CHECK(fixture.listener.lost_count == 1);
+    CHECK_FALSE(fixture.link->is_alive());
 }
 
 namespace
 {
 
 /// An instance without power: its queue of connections is full, so that it does
-/// not answer attempts to connect until wake().
-struct silent_place
+/// not answer attempts to connect until power_up().
+struct unpowered_instance
 {
-    explicit silent_place(asio::io_context& its_loop)
-        : loop(its_loop), acceptor(its_loop)
+    explicit unpowered_instance(asio::io_context& fixture_loop)
+        : loop(fixture_loop), acceptor(fixture_loop)
     {
         acceptor.open(tcp::v4());
         acceptor.bind({asio::ip::address_v4::loopback(), 0});
         acceptor.listen(0);
-        constexpr int more_than_queued = 4;
-        for (int one = 0; one < more_than_queued; ++one)
+        constexpr int filler_count = 4;
+        for (int index = 0; index < filler_count; ++index)
         {
             fillers.push_back(std::make_unique<tcp::socket>(loop));
             fillers.back()->async_connect(acceptor.local_endpoint(),
@@ -190,7 +190,7 @@
         return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
     }
 
-    void wake()
+    void power_up()
     {
         fillers.clear();
         start(loop, test::accept_all(loop, acceptor,
@@ -202,13 +202,13 @@
     {
         const auto frames = std::make_shared<frame_socket>(std::move(socket));
         while (co_await frames->read())
-            is_found = true;
+            is_connected = true;
     }
 
     asio::io_context& loop;
     tcp::acceptor acceptor;
     std::vector<std::unique_ptr<tcp::socket>> fillers;
-    bool is_found = false;
+    bool is_connected = false;
 };
 
 } // namespace
@@ -220,23 +220,23 @@
 TEST_CASE("the first attempt to connect is aborted early and repeated")
 {
     test::serving_fixture entry;
-    quiet_listener listener;
-    silent_place other(entry.loop);
+    recording_listener listener;
+    unpowered_instance other(entry.loop);
     entry.settle();
     const auto link =
         std::make_shared<peer_link>(*entry.context, listener, other.address());
     start(entry.loop, link->run());
     entry.settle();
-    other.wake();
+    other.power_up();
     entry.settle();
-    for (const duration gone : {110ms, 30ms})
+    for (const duration elapsed : {110ms, 30ms})
     {
-        entry.time.advance(gone);
+        entry.time.advance(elapsed);
         entry.settle();
     }
-    constexpr int before_repetition = 400; // In milliseconds.
-    for (int step = 0; step < before_repetition && !other.is_found; ++step)
+    constexpr int max_steps = 400; // Of 1 ms; the kernel repeats later.
+    for (int step = 0; step < max_steps && !other.is_connected; ++step)
         entry.loop.run_for(1ms);
-    CHECK(other.is_found);
+    CHECK(other.is_connected);
     link->close();
 }
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -16,41 +16,41 @@
 {
 
 /// An entry with version 1 of the catalog among others that hold version 9.
-struct behind_fixture : test::serving_fixture
+struct outdated_entry : test::serving_fixture
 {
-    behind_fixture()
-        : source(*context, speaks), mesh(*context, source, *gathering)
+    outdated_entry()
+        : source(*context, source_speech), mesh(*context, source, *gathering)
     {
         context->settings.adoption_time = 3s;
-        for (auto& one : others)
+        for (auto& other : others)
         {
-            one = std::make_unique<test::played_entry>(loop);
-            one->holding.set_catalog_version(9);
-            one->holding.set_cores(
-                1); // It may be elected, and is pinged often.
-            mesh.add(one->address());
+            other = std::make_unique<test::played_entry>(loop);
+            other->holding.set_catalog_version(9);
+            // It may be elected, and is pinged often.
+            other->holding.set_cores(1);
+            mesh.add(other->address());
         }
         start(loop, mesh.run());
     }
 
-    void pass(duration most)
+    void advance(duration total)
     {
         constexpr duration step = 50ms;
-        for (duration gone{}; gone < most; gone += step)
+        for (duration elapsed{}; elapsed < total; elapsed += step)
         {
             time.advance(step);
             settle();
         }
     }
 
-    std::size_t asked() const
+    std::size_t catalogs_requested() const
     {
         return std::accumulate(others.begin(), others.end(), std::size_t{0},
-                               [](std::size_t sum, const auto& one)
-                               { return sum + one->catalogs_asked; });
+                               [](std::size_t sum, const auto& other)
+                               { return sum + other->catalogs_asked; });
     }
 
-    test::plain_source speaks;
+    test::plain_source source_speech;
     source_reader source;
     peer_mesh mesh;
     std::array<std::unique_ptr<test::played_entry>, 4> others;
@@ -67,19 +67,19 @@
 // was full for 17 s with an idle processor.
 TEST_CASE("an entry with an old catalog does not request copy after copy")
 {
-    behind_fixture entry;
-    entry.pass(4s);
-    CHECK(entry.asked() >= 1);
-    CHECK(entry.asked() <= 4);
+    outdated_entry entry;
+    entry.advance(4s);
+    CHECK(entry.catalogs_requested() >= 1);
+    CHECK(entry.catalogs_requested() <= 4);
 }
 
 // The same with a holder that is gone: the entry must request the catalog from
 // the next one.
 TEST_CASE("an entry with an old catalog requests it from another holder later")
 {
-    behind_fixture entry;
-    entry.pass(4s);
-    CHECK(entry.asked() >= 2);
+    outdated_entry entry;
+    entry.advance(4s);
+    CHECK(entry.catalogs_requested() >= 2);
 }
 
 // Guards against an invalid target address that is passed on by an entry with
@@ -87,17 +87,17 @@
 TEST_CASE("targets received from another entry are validated")
 {
     decision::target_directory directory;
-    peer::Targets told;
+    peer::Targets received;
     for (const char* address : {"nowhere", "", "10.0.0.1:80"})
     {
-        peer::Target& one = *told.add_targets();
-        one.set_id(std::string("t-") + address);
-        one.set_service("plain");
-        one.set_address(address);
-        one.set_born(5);
-        one.set_revision(1);
+        peer::Target& target = *received.add_targets();
+        target.set_id(std::string("t-") + address);
+        target.set_service("plain");
+        target.set_address(address);
+        target.set_born(5);
+        target.set_revision(1);
     }
-    take_targets(told, directory);
+    take_targets(received, directory);
     REQUIRE(directory.serving("plain").size() == 1);
     CHECK(directory.serving("plain")[0]->start ==
           decision::target_start("t-10.0.0.1:80", 5));
--- a/tests/serving/peer_server_test.cpp
+++ b/tests/serving/peer_server_test.cpp
@@ -13,9 +13,9 @@
 
 /// An entry with a catalog too large for the kernel's socket buffers, and other
 /// entries that request it.
-struct giving_entry : test::serving_fixture
+struct copy_source : test::serving_fixture
 {
-    giving_entry() : text(std::make_shared<const std::string>(64U << 20U, 'x'))
+    copy_source() : text(std::make_shared<const std::string>(64U << 20U, 'x'))
     {
         context->settings.peers = {"127.0.0.1", free_port()};
         server.emplace(
@@ -43,7 +43,7 @@
     }
 
     /// Requests the catalog on the connection \a other.
-    void ask(frame_socket& other)
+    void request_catalog(frame_socket& other)
     {
         peer::Frame frame;
         frame.mutable_want()->set_catalog(true);
@@ -54,16 +54,16 @@
     /// Returns the first frame that is received on \a other.
     peer::Frame first_frame(const frame_socket_ptr& other)
     {
-        std::optional<peer::Frame> came;
-        start(loop, read(other, came));
-        run_until([&] { return came.has_value(); });
-        return *came;
+        std::optional<peer::Frame> received;
+        start(loop, read(other, received));
+        run_until([&] { return received.has_value(); });
+        return *received;
     }
 
     static awaitable<void> read(frame_socket_ptr other,
-                                std::optional<peer::Frame>& came)
+                                std::optional<peer::Frame>& received)
     {
-        came = co_await other->read();
+        received = co_await other->read();
     }
 
     std::shared_ptr<const std::string> text;
@@ -78,18 +78,18 @@
 // to send all copies at once, which filled its link.
 TEST_CASE("an entry sends two copies at a time and declines other requests")
 {
-    giving_entry entry;
+    copy_source entry;
     const auto first = entry.connect();
     const auto second = entry.connect();
     const auto third = entry.connect();
-    entry.ask(*first);
+    entry.request_catalog(*first);
     CHECK(entry.first_frame(first).has_catalog_part());
-    entry.ask(*second);
+    entry.request_catalog(*second);
     CHECK(entry.first_frame(second).has_catalog_part());
-    entry.ask(*third);
+    entry.request_catalog(*third);
     CHECK(entry.first_frame(third).has_declined());
     first->close();
     entry.settle();
-    entry.ask(*third);
+    entry.request_catalog(*third);
     CHECK(entry.first_frame(third).has_catalog_part());
 }
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-bool has(const std::string& text, const std::string& part)
+bool contains(const std::string& text, const std::string& part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -24,19 +24,19 @@
 
 /// An entry with targets that crash when they start a request with "poison" in
 /// its path. Each crashed target is replaced by a new one.
-struct poisoned_entry : serving_fixture
+struct crashing_targets : serving_fixture
 {
-    explicit poisoned_entry(std::string its_service)
-        : service(std::move(its_service))
+    explicit crashing_targets(std::string service_name)
+        : service(std::move(service_name))
     {
         constexpr int targets = 4;
-        for (int one = 0; one < targets; ++one)
+        for (int index = 0; index < targets; ++index)
             add();
     }
 
     void add()
     {
-        const std::string name = "t" + std::to_string(++listed);
+        const std::string name = "t" + std::to_string(++targets_listed);
         add_target(service,
                    [this, name](const std::string& request, std::size_t)
                    { return react(name, request); });
@@ -45,10 +45,10 @@
     scripted_target::reaction react(const std::string& name,
                                     const std::string& request)
     {
-        if (!has(request, "poison"))
+        if (!contains(request, "poison"))
             return {answer(id_of(request), "whole"), end::keep};
-        ++ended;
-        context->directory.note_gone(name, 100 + ended);
+        ++crashes;
+        context->directory.note_gone(name, 100 + crashes);
         add();
         return {"", end::reset};
     }
@@ -58,20 +58,20 @@
     std::string ask_again(const std::string& path)
     {
         time.advance(500ms);
-        return ask(request(path, "r" + std::to_string(++asked)));
+        return ask(request(path, "r" + std::to_string(++requests_sent)));
     }
 
     std::string service;
-    std::size_t listed = 0;
-    std::size_t ended = 0;
-    std::size_t asked = 0;
+    std::size_t targets_listed = 0;
+    std::size_t crashes = 0;
+    std::size_t requests_sent = 0;
 };
 
 /// An entry with stage targets that crash when a call holds a piece of a
 /// request whose id begins with "poison".
-struct poisoned_stage : serving_fixture
+struct crashing_stage_targets : serving_fixture
 {
-    poisoned_stage()
+    crashing_stage_targets()
     {
         add_target("events",
                    [](const std::string& request, std::size_t)
@@ -84,40 +84,41 @@
 
     void add()
     {
-        const std::string name = "t" + std::to_string(++listed);
-        auto where = std::make_shared<std::string>();
-        const auto& target = add_target(
-            "pieces", [this, name, where](const std::string& call, std::size_t)
-            { return react(name, *where, call); });
-        *where = target.address();
+        const std::string name = "t" + std::to_string(++targets_listed);
+        auto address = std::make_shared<std::string>();
+        const auto& target =
+            add_target("pieces", [this, name, address](const std::string& call,
+                                                       std::size_t)
+                       { return react(name, *address, call); });
+        *address = target.address();
     }
 
     scripted_target::reaction react(const std::string& name,
-                                    const std::string& where,
+                                    const std::string& address,
                                     const std::string& call)
     {
-        if (has(call, "/let-go"))
+        if (contains(call, "/let-go"))
             return {answer("", ""), end::keep};
         const std::string body = call.substr(call.find("\r\n\r\n") + 4);
-        if (has(body, "poison"))
+        if (contains(body, "poison"))
         {
-            ++ended;
-            context->directory.note_gone(name, 100 + ended);
+            ++crashes;
+            context->directory.note_gone(name, 100 + crashes);
             add();
             return {"", end::reset};
         }
         std::string results;
         for (std::size_t at = 0; at < body.size(); at = body.find('\n', at) + 1)
-            results += where + "/" + std::to_string(++made) + "\n";
+            results += address + "/" + std::to_string(++results_made) + "\n";
         return {answer("", results), end::keep};
     }
 
-    std::size_t listed = 1; // Counts the target of "events".
-    std::size_t ended = 0;
-    std::size_t made = 0;
+    std::size_t targets_listed = 1; // Counts the target of "events".
+    std::size_t crashes = 0;
+    std::size_t results_made = 0;
 };
 
-constexpr std::size_t most_ended = 3;
+constexpr std::size_t max_crashes = 3;
 
 } // namespace
 
@@ -133,16 +134,16 @@
     for (const std::string path : {"/once/poison", "/again/poison"})
     {
         CAPTURE(path);
-        poisoned_entry entry("plain");
+        crashing_targets entry("plain");
         std::string last;
         for (int sending = 0; sending < 10; ++sending)
         {
             last = entry.ask_again(path);
-            CHECK(has(entry.ask_again("/once/harmless"), " 200 "));
+            CHECK(contains(entry.ask_again("/once/harmless"), " 200 "));
         }
-        CHECK(entry.ended <= most_ended);
-        CHECK(has(last, " 503 "));
-        CHECK(has(last, "Retry-After: "));
+        CHECK(entry.crashes <= max_crashes);
+        CHECK(contains(last, " 503 "));
+        CHECK(contains(last, "Retry-After: "));
     }
 }
 
@@ -153,10 +154,10 @@
     for (const std::string path : {"/once-events/poison", "/events/poison"})
     {
         CAPTURE(path);
-        poisoned_entry entry("events");
+        crashing_targets entry("events");
         for (int sending = 0; sending < 10; ++sending)
             entry.ask_again(path);
-        CHECK(entry.ended <= most_ended);
+        CHECK(entry.crashes <= max_crashes);
     }
 }
 
@@ -166,7 +167,7 @@
 // together, and crash the next target, until all have lost as many calls.
 TEST_CASE("a request that crashes stage targets does not fail other requests")
 {
-    poisoned_stage entry;
+    crashing_stage_targets entry;
     std::vector<std::shared_ptr<serving_fixture::caller>> callers;
     for (const std::string id :
          {"h1", "h2", "h3", "poison1", "h4", "h5", "h6", "h7"})
@@ -177,23 +178,24 @@
     }
     entry.settle();
     constexpr int targets = 4;
-    for (int one = 0; one < targets; ++one)
+    for (int index = 0; index < targets; ++index)
         entry.add();
     for (int step = 0; step < 150; ++step)
     {
         entry.settle();
         entry.time.advance(20ms);
     }
-    CHECK(entry.ended <= most_ended);
-    for (const auto& one : callers)
+    CHECK(entry.crashes <= max_crashes);
+    for (const auto& caller : callers)
     {
-        CAPTURE(one->received);
-        CHECK(has(one->received, "Id: poison1") != has(one->received, " 200 "));
+        CAPTURE(caller->received);
+        CHECK(contains(caller->received, "Id: poison1") !=
+              contains(caller->received, " 200 "));
     }
     // The content is quarantined now, whatever the request id.
     const std::string again =
         entry.ask(request("/staged/poison1", "poison2", "Pieces: 11\r\n"));
-    CHECK(has(again, " 503 "));
-    CHECK(has(again, "quarantined"));
-    CHECK(entry.ended <= most_ended);
+    CHECK(contains(again, " 503 "));
+    CHECK(contains(again, "quarantined"));
+    CHECK(entry.crashes <= max_crashes);
 }
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -54,9 +54,9 @@
     ("a hangup has no handler", "packages/serving/settings_keeper.cpp",
      "m_hangup(context.loop, SIGHUP)", "m_hangup(context.loop)", ["hangup"]),
     ("a stage gets one of its inputs only", "packages/serving/stage_runner.cpp",
-     "        const auto& handles = m_states.at(one).handles;\n"
+     "        const auto& handles = m_states.at(input).handles;\n"
      "        inputs.insert(inputs.end(), handles.begin(), handles.end());",
-     "        inputs.push_back(m_states.at(one).handles.front());",
+     "        inputs.push_back(m_states.at(input).handles.front());",
      ["publish"]),
     ("a bad entry leaves the good one before it in use",
      "packages/serving/source_reader_changes.cpp",
@@ -67,12 +67,12 @@
      "    m_has_left = true;", "    return;", ["target_mode"]),
     ("every word of a newer catalog asks for a copy",
      "packages/serving/peer_mesh.cpp",
-     "    if (!lacking.asks(address, m_source.state(), m_context.now()))\n"
+     "    if (!catch_up.asks(address, m_source.state(), m_context.now()))\n"
      "        return false;\n"
      "    if (!before.empty() && before != address)\n"
      "        drop_copy(before);\n",
      "    if (address.empty())\n        return false;\n"
-     "    m_lacks_targets.note_lost(before);\n",
+     "    m_target_catch_up.note_lost(before);\n",
      ["grow"], NARROW),
     ("a request that ends its targets is never kept from them",
      "packages/decision/quarantine.cpp",
