--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -16,8 +16,8 @@
 #include "runtime/clock.hpp"
 #include "runtime/metrics.hpp"
 #include "serving/dialect.hpp"
+#include "serving/job_executor.hpp"
 #include "serving/node_settings.hpp"
-#include "serving/piece_maker.hpp"
 #include "serving/target_links.hpp"
 
 #include <cstdint>
@@ -112,7 +112,7 @@
         decision::decaying_max answer; ///< From a send to its end.
     };
     std::map<std::string, route_times> routes; ///< By name.
-    piece_maker* pieces = nullptr;
+    job_executor* pieces = nullptr;
     std::map<std::string, decision::retry_budget> retries;
     std::size_t entries_answering = 1; ///< Now, this one included.
     std::size_t entries_known = 1;     ///< The most that ever did.
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -59,9 +59,9 @@
     { return m_mesh.seat_for(matter); };
     m_context.knows_entries = [this] { return m_mesh.is_settled(); };
     m_context.is_outlasted = [this] { return m_mesh.is_outlasted(); };
-    m_peers.set_asker_notice(
+    m_peers.set_ping_handler(
         [this](const std::string& address, const peer::Holding& theirs)
-        { m_mesh.note_asker(address, theirs); });
+        { m_mesh.handle_ping(address, theirs); });
 }
 
 status_server::reply entry_process::answer_status(const std::string& path)
@@ -99,7 +99,7 @@
         if (m_context.drain->is_out_of_rotation(now))
             m_requests.close_idle();
         const bool is_idle =
-            m_requests.connections() == 0 && m_gatherer.jobs() == 0;
+            m_requests.connections() == 0 && m_gatherer.job_count() == 0;
         if (now + last_answers_time >= m_context.drain->request_deadline())
             m_requests.end_unsent();
         if (m_context.drain->may_exit(now, is_idle))
--- a/packages/serving/entry_process.hpp
+++ b/packages/serving/entry_process.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "serving/elected_maker.hpp"
 #include "serving/entry_context.hpp"
-#include "serving/gatherer.hpp"
+#include "serving/job_router.hpp"
 #include "serving/peer_mesh.hpp"
 #include "serving/peer_server.hpp"
+#include "serving/piece_batcher.hpp"
 #include "serving/request_server.hpp"
 #include "serving/settings_keeper.hpp"
 #include "serving/source_reader.hpp"
@@ -39,11 +39,11 @@
 
     entry_context m_context;
     settings_keeper m_settings;
-    gatherer m_gatherer;
+    piece_batcher m_gatherer;
     source_reader m_source;
     peer_mesh m_mesh;
     peer_server m_peers;
-    elected_maker m_maker;
+    job_router m_maker;
     request_server m_requests;
     status_server m_status;
     asio::signal_set m_signals;
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -84,7 +84,7 @@
     for (const prompt_part& part : m_facts.prompt)
         work.prompt.push_back({part.id, part.tokens});
     if (m_stages)
-        work.inputs = m_stages->bytes_by_zone();
+        work.inputs = m_stages->result_bytes_by_zone();
     return work;
 }
 
@@ -252,7 +252,7 @@
     const auto begun = co_await m_call->begin(sent, m_facts.id, patience());
     if (begun == target_call::state::good)
     {
-        note_alive(m_context, id, m_call->opened_at());
+        record_target_alive(m_context, id, m_call->opened_at());
         m_context.cold.note_answered(id, m_context.warm_up_of(m_service).time,
                                      m_context.now());
     }
@@ -311,8 +311,8 @@
         break;
     default:
         m_refusal = refusal::target_lost;
-        note_target_end(m_context, {content(), target, m_sent_at, now, false},
-                        m_facts.id);
+        record_target_end(m_context, {content(), target, m_sent_at, now, false},
+                          m_facts.id);
     }
     m_context.count("attempts_failed", "why", to_string(m_refusal));
     if (!is_unsent)
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -82,7 +82,7 @@
     m_context.count("requests_answered", "status", std::to_string(status));
     if (is_success(status))
     {
-        note_served(m_context, content());
+        record_content_served(m_context, content());
         auto& times = m_context.routes[m_route->name];
         times.first.add(m_context.now() - m_sent_at);
         times.answer.add(m_context.now() - m_sent_at);
@@ -162,7 +162,8 @@
             co_return attempt_end::given_up;
         }
         if (got == target_call::state::good)
-            note_alive(m_context, call.target().start, call.opened_at());
+            record_target_alive(m_context, call.target().start,
+                                call.opened_at());
         else
         {
             const auto end = failed(got, call.target().start);
@@ -179,7 +180,7 @@
                                  : attempt_end::try_again;
     }
     m_context.count("requests_answered", "status", "200");
-    note_served(m_context, content());
+    record_content_served(m_context, content());
     if (m_sends->sends() == 1)
     {
         auto& times = m_context.routes[m_route->name];
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -70,7 +70,7 @@
             co_return false;
         m_stages_at = m_context.now();
         m_is_begun_late = m_stages->is_late();
-        m_stages_done = m_stages->done_after(m_began);
+        m_stages_done = m_stages->completion_times(m_began);
         if (end == decision::job_status::completed)
             co_return true;
         // A result that went with its maker is made again, from the start.
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -65,7 +65,7 @@
         co_return false;
     m_connect_timeout = initial_connect_timeout;
     m_socket = std::make_shared<frame_socket>(std::move(*socket));
-    m_target_ends.begin_anew();
+    m_target_ends.reset();
     peer::Frame hello;
     hello.mutable_hello()->set_address(m_context.settings.announced.text());
     m_socket->send(hello);
@@ -178,24 +178,24 @@
     case peer::Frame::kPong:
         return handle_pong(frame.pong());
     case peer::Frame::kCatalog:
-        return m_listener.take_catalog(m_address, frame.catalog().text());
+        return m_listener.handle_catalog(m_address, frame.catalog().text());
     case peer::Frame::kCatalogPart:
         return handle_catalog_part(frame.catalog_part());
     case peer::Frame::kDeclined:
-        return m_listener.note_declined(m_address);
+        return m_listener.note_copy_declined(m_address);
     case peer::Frame::kTargets:
-        return m_listener.take_targets(m_address, frame.targets());
+        return m_listener.handle_targets(m_address, frame.targets());
     case peer::Frame::kEnds:
-        return take_ends(m_context, frame.ends(), m_address);
+        return handle_target_ends(m_context, frame.ends(), m_address);
     case peer::Frame::kJobEnd:
     {
         const auto submitted = m_submitted.find(frame.job_end().number());
         if (submitted == m_submitted.end())
             return;
-        const orphaned_job job = std::move(submitted->second);
+        const routed_job job = std::move(submitted->second);
         m_submitted.erase(submitted);
-        piece_outcome outcome = outcome_of(frame.job_end());
-        if (job.pending->is_dropped())
+        job_outcome outcome = read_outcome(frame.job_end());
+        if (job.pending->is_cancelled())
             release(job.service, outcome.handles);
         job.pending->set_outcome(std::move(outcome));
         return;
@@ -204,7 +204,7 @@
     {
         const auto submitted = m_submitted.find(frame.job_fetched().number());
         if (submitted != m_submitted.end())
-            submitted->second.pending->set_fetched();
+            submitted->second.pending->set_inputs_fetched();
         return;
     }
     default:
@@ -217,10 +217,11 @@
     if (!m_is_alive)
         runtime::event("entry_found").with("entry", m_address).info();
     m_is_alive = true;
-    take_ends(m_context, pong.news(), m_address);
-    m_target_ends.note_theirs(pong.holding().ends_summary());
+    handle_target_ends(m_context, pong.news(), m_address);
+    m_target_ends.set_peer_summary(pong.holding().ends_summary());
     send_target_ends();
-    const peer::Want want = m_listener.note_holding(m_address, pong.holding());
+    const peer::Want want =
+        m_listener.handle_holding(m_address, pong.holding());
     if (!want.catalog() && !want.targets())
         return;
     peer::Frame request;
@@ -242,10 +243,10 @@
 {
     m_listener.note_catalog_part(m_address);
     if (const auto text = m_catalog.add(part))
-        m_listener.take_catalog(m_address, *text);
+        m_listener.handle_catalog(m_address, *text);
 }
 
-void peer_link::drop_copy()
+void peer_link::cancel_copy()
 {
     if (!m_socket)
         return;
@@ -254,8 +255,8 @@
     m_socket->send(frame);
 }
 
-void peer_link::ask(const std::string& service, decision::stage_job job,
-                    piece_wait_ptr pending)
+void peer_link::submit(const std::string& service, decision::stage_job job,
+                       pending_job_ptr pending)
 {
     if (m_submitted.empty())
         m_ping_now.raise();
@@ -279,7 +280,7 @@
 {
     for (auto job = m_submitted.begin(); job != m_submitted.end();)
     {
-        if (!job->second.pending->is_dropped())
+        if (!job->second.pending->is_cancelled())
         {
             ++job;
             continue;
@@ -300,12 +301,12 @@
             .warn();
     m_is_alive = false;
     m_listener.note_lost(m_address);
-    std::vector<orphaned_job> jobs;
+    std::vector<routed_job> jobs;
     for (auto& [number, job] : std::exchange(m_submitted, {}))
-        if (!job.pending->is_dropped())
+        if (!job.pending->is_cancelled())
             jobs.push_back(std::move(job));
     if (!jobs.empty())
-        m_listener.take_back(std::move(jobs));
+        m_listener.take_back_jobs(std::move(jobs));
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -4,7 +4,7 @@
 #include "serving/catalog_parts.hpp"
 #include "serving/entry_context.hpp"
 #include "serving/frame_socket.hpp"
-#include "serving/piece_maker.hpp"
+#include "serving/job_executor.hpp"
 #include "serving/target_losses.hpp"
 
 #include <functional>
@@ -17,11 +17,11 @@
 {
 
 /// A stage job with its service and the request that waits for it.
-struct orphaned_job
+struct routed_job
 {
     std::string service;
     decision::stage_job job;
-    piece_wait_ptr pending;
+    pending_job_ptr pending;
 };
 
 /// Handles what an entry receives from another entry over a peer_link.
@@ -34,19 +34,19 @@
     virtual peer::Holding holding() const = 0;
     /// Handles the state of the entry at \a address. Returns what to request
     /// from it.
-    virtual peer::Want note_holding(const std::string& address,
-                                    const peer::Holding& peer_state) = 0;
+    virtual peer::Want handle_holding(const std::string& address,
+                                      const peer::Holding& peer_state) = 0;
     /// Handles a catalog received from the entry at \a address.
-    virtual void take_catalog(const std::string& address,
-                              const std::string& text) = 0;
+    virtual void handle_catalog(const std::string& address,
+                                const std::string& text) = 0;
     /// Notes that a part of a catalog was received from the entry at \a
     /// address.
     virtual void note_catalog_part(const std::string& address) = 0;
     /// Handles a part of the list of targets.
-    virtual void take_targets(const std::string& address,
-                              const peer::Targets& targets) = 0;
+    virtual void handle_targets(const std::string& address,
+                                const peer::Targets& targets) = 0;
     /// Notes that the entry at \a address declined to send a copy for now.
-    virtual void note_declined(const std::string& address) = 0;
+    virtual void note_copy_declined(const std::string& address) = 0;
     /// Returns how often to ping the entry at \a address, and after which
     /// silence it counts as lost.
     virtual decision::entry_roster::watch watch_of(const std::string& address,
@@ -54,7 +54,7 @@
     /// Notes that the entry at \a address no longer answers.
     virtual void note_lost(const std::string& address) = 0;
     /// Takes back jobs from an entry that no longer answers.
-    virtual void take_back(std::vector<orphaned_job> jobs) = 0;
+    virtual void take_back_jobs(std::vector<routed_job> jobs) = 0;
 };
 
 /// The connection from this entry to another one, over which it pings that
@@ -75,18 +75,21 @@
     bool is_alive() const { return m_is_alive; }
 
     /// Returns when the other entry was last heard from.
-    instant heard_at() const { return m_last_heard_at; }
+    instant last_heard_at() const { return m_last_heard_at; }
 
-    void ask(const std::string& service, decision::stage_job job,
-             piece_wait_ptr pending);
+    /// Sends \a job to the other entry. Its outcome goes to \a pending; if the
+    /// connection is lost first, the job goes to the listener.
+    void submit(const std::string& service, decision::stage_job job,
+                pending_job_ptr pending);
+    /// Releases results that the other entry had made for this one.
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
 
     /// Pings the other entry now instead of at the next interval.
-    void ask_now() { m_ping_now.raise(); }
+    void ping_now() { m_ping_now.raise(); }
 
     /// Asks the other entry to stop sending a copy in parts.
-    void drop_copy();
+    void cancel_copy();
 
 private:
     awaitable<bool> connect();
@@ -105,7 +108,7 @@
     peer_listener& m_listener;
     std::string m_address;
     frame_socket_ptr m_socket;
-    std::map<std::uint64_t, orphaned_job> m_submitted;
+    std::map<std::uint64_t, routed_job> m_submitted;
     std::uint64_t m_next_number = 1;
     duration m_connect_timeout; ///< Time limit of the next attempt to connect.
     instant m_last_heard_at{};
@@ -116,7 +119,7 @@
     signal_point m_ping_now; ///< Raised to ping at once.
     bool m_is_closed = false;
     catalog_collector m_catalog;
-    end_news m_target_ends; ///< For the current connection.
+    target_end_sync m_target_ends; ///< For the current connection.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 peer_mesh::peer_mesh(entry_context& context, source_reader& source,
-                     gatherer& batcher)
+                     piece_batcher& batcher)
     : m_context(context), m_source(source), m_batcher(batcher),
       m_roster(context.settings.announced.text(), context.settings.cores)
 {
@@ -55,7 +55,7 @@
     start(m_context.loop, link->run());
 }
 
-peer_link* peer_mesh::gathering(const std::string& service)
+peer_link* peer_mesh::batching_peer(const std::string& service)
 {
     m_roster.set_has_catalog(m_context.is_informed());
     const auto found = m_links.find(m_roster.gatherer_of(service));
@@ -75,13 +75,13 @@
 {
     m_roster.set_stopping(m_context.now());
     for (const auto& [address, link] : m_links)
-        link->ask_now();
+        link->ping_now();
 }
 
-void peer_mesh::note_asker(const std::string& address,
-                           const peer::Holding& peer_state)
+void peer_mesh::handle_ping(const std::string& address,
+                            const peer::Holding& peer_state)
 {
-    take_zone_words(m_context, zones_of(peer_state), address);
+    take_zone_words(m_context, read_zones(peer_state), address);
     if (peer_state.is_stopping())
         m_roster.note_stopping(
             address, m_context.now() - duration(peer_state.stopping_for_ns()));
@@ -113,7 +113,7 @@
     state.set_has_targets(m_context.knows_targets);
     state.set_ends_summary(m_context.quarantine.ends().summary());
     write_zones(m_context.evacuations.known(), state);
-    for (const auto& [service, times] : m_batcher.waits())
+    for (const auto& [service, times] : m_batcher.wait_times())
     {
         peer::Backlog& backlog = *state.add_backlogs();
         backlog.set_service(service);
@@ -124,18 +124,18 @@
     return state;
 }
 
-void peer_mesh::drop_copy(const std::string& address)
+void peer_mesh::cancel_copy(const std::string& address)
 {
     const auto found = m_links.find(address);
     if (found != m_links.end())
-        found->second->drop_copy();
+        found->second->cancel_copy();
 }
 
 void peer_mesh::note_up_to_date(decision::catch_up& catch_up)
 {
     // A copy that another entry is still sending only takes bandwidth now.
     if (!catch_up.under_way().empty())
-        drop_copy(catch_up.under_way());
+        cancel_copy(catch_up.under_way());
     catch_up.note_level();
 }
 
@@ -147,7 +147,7 @@
     if (!catch_up.asks(address, m_source.state(), m_context.now()))
         return false;
     if (!before.empty() && before != address)
-        drop_copy(before);
+        cancel_copy(before);
     return true;
 }
 
@@ -189,8 +189,8 @@
     return true;
 }
 
-peer::Want peer_mesh::note_holding(const std::string& address,
-                                   const peer::Holding& peer_state)
+peer::Want peer_mesh::handle_holding(const std::string& address,
+                                     const peer::Holding& peer_state)
 {
     m_roster.note_answer(
         address,
@@ -201,7 +201,7 @@
         m_context.now());
     m_context.entries_known =
         std::max(m_context.entries_known, m_roster.size());
-    take_zone_words(m_context, zones_of(peer_state), address);
+    take_zone_words(m_context, read_zones(peer_state), address);
     for (const std::string& entry : peer_state.entries())
         add(entry);
     for (const peer::Backlog& backlog : peer_state.backlogs())
@@ -222,8 +222,8 @@
     m_catalog_catch_up.note_part(address, m_context.now());
 }
 
-void peer_mesh::take_catalog(const std::string& address,
-                             const std::string& text)
+void peer_mesh::handle_catalog(const std::string& address,
+                               const std::string& text)
 {
     runtime::event("catalog_received")
         .with("entry", address)
@@ -233,17 +233,17 @@
     m_source.adopt(text, "entry");
 }
 
-void peer_mesh::note_declined(const std::string& address)
+void peer_mesh::note_copy_declined(const std::string& address)
 {
     m_catalog_catch_up.note_lost(address);
     m_target_catch_up.note_lost(address);
 }
 
-void peer_mesh::take_targets(const std::string& address,
-                             const peer::Targets& targets)
+void peer_mesh::handle_targets(const std::string& address,
+                               const peer::Targets& targets)
 {
     for (const decision::listed_target& target :
-         serving::take_targets(targets, m_context.directory))
+         serving::apply_targets(targets, m_context.directory))
         m_context.note_cold(target);
     m_context.knows_targets = m_context.knows_targets || targets.targets_size();
     if (targets.has_more())
@@ -252,7 +252,7 @@
         m_target_catch_up.note_end(address, m_context.now());
 }
 
-void peer_mesh::take_back(std::vector<orphaned_job> jobs)
+void peer_mesh::take_back_jobs(std::vector<routed_job> jobs)
 {
     if (m_job_sink)
         m_job_sink(std::move(jobs));
@@ -264,7 +264,7 @@
     for (auto link = m_links.begin(); link != m_links.end();)
     {
         const instant last_heard_at =
-            std::max(link->second->heard_at(), m_added_at[link->first]);
+            std::max(link->second->last_heard_at(), m_added_at[link->first]);
         if (link->second->is_alive() || is_seed(link->first) ||
             now < last_heard_at + lost_entry_lifetime)
         {
--- a/packages/serving/peer_mesh.hpp
+++ b/packages/serving/peer_mesh.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "decision/catch_up.hpp"
-#include "serving/gatherer.hpp"
 #include "serving/peer_link.hpp"
+#include "serving/piece_batcher.hpp"
 #include "serving/source_reader.hpp"
 
 #include <map>
@@ -19,7 +19,8 @@
 class peer_mesh : public peer_listener
 {
 public:
-    peer_mesh(entry_context& context, source_reader& source, gatherer& batcher);
+    peer_mesh(entry_context& context, source_reader& source,
+              piece_batcher& batcher);
 
     /// Connects to the seeds and runs the periodic work.
     awaitable<void> run();
@@ -29,7 +30,7 @@
 
     /// Returns the link to the entry that batches \a service, or nothing if
     /// this entry does.
-    peer_link* gathering(const std::string& service);
+    peer_link* batching_peer(const std::string& service);
 
     /// Notes that this entry starts now and knows its seeds only.
     void set_started();
@@ -53,28 +54,28 @@
     bool is_outlasted() const { return m_roster.is_outlasted(); }
 
     /// Handles the state that the entry at \a address sent with a ping.
-    void note_asker(const std::string& address,
-                    const peer::Holding& peer_state);
+    void handle_ping(const std::string& address,
+                     const peer::Holding& peer_state);
 
-    using work_sink = std::function<void(std::vector<orphaned_job>)>;
-    void set_work_sink(work_sink sink) { m_job_sink = std::move(sink); }
+    using job_sink = std::function<void(std::vector<routed_job>)>;
+    void set_job_sink(job_sink sink) { m_job_sink = std::move(sink); }
 
-    /// Returns the state of this entry, for an entry that knows \a known
-    /// entries.
+    /// Returns the state of this entry, for an entry that
+    /// knows \a known_entries of the entries.
     peer::Holding holding(std::size_t known_entries) const;
     peer::Holding holding() const override { return holding(m_roster.size()); }
-    peer::Want note_holding(const std::string& address,
-                            const peer::Holding& peer_state) override;
+    peer::Want handle_holding(const std::string& address,
+                              const peer::Holding& peer_state) override;
     decision::entry_roster::watch watch_of(const std::string& address,
                                            bool holds_work) const override;
     void note_lost(const std::string& address) override;
-    void take_catalog(const std::string& address,
-                      const std::string& text) override;
+    void handle_catalog(const std::string& address,
+                        const std::string& text) override;
     void note_catalog_part(const std::string& address) override;
-    void note_declined(const std::string& address) override;
-    void take_targets(const std::string& address,
-                      const peer::Targets& targets) override;
-    void take_back(std::vector<orphaned_job> jobs) override;
+    void note_copy_declined(const std::string& address) override;
+    void handle_targets(const std::string& address,
+                        const peer::Targets& targets) override;
+    void take_back_jobs(std::vector<routed_job> jobs) override;
 
 private:
     void remove_lost_entries();
@@ -86,12 +87,12 @@
     bool should_request(decision::catch_up& catch_up,
                         const std::string& address);
     void note_up_to_date(decision::catch_up& catch_up);
-    void drop_copy(const std::string& address);
+    void cancel_copy(const std::string& address);
     bool is_seed(const std::string& address) const;
 
     entry_context& m_context;
     source_reader& m_source;
-    gatherer& m_batcher;
+    piece_batcher& m_batcher;
     decision::entry_roster m_roster;
     /// Catalog version of the services that m_roster was given.
     std::uint64_t m_services_version = 0;
@@ -101,7 +102,7 @@
     decision::catch_up m_target_catch_up;
     std::map<std::string, std::shared_ptr<peer_link>> m_links;
     std::map<std::string, instant> m_added_at;
-    work_sink m_job_sink;
+    job_sink m_job_sink;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -39,7 +39,7 @@
     return frame;
 }
 
-decision::stage_job job_of(const peer::Job& message, instant now)
+decision::stage_job read_job(const peer::Job& message, instant now)
 {
     decision::stage_job job;
     job.request = message.request();
@@ -61,8 +61,8 @@
     return job;
 }
 
-void write_end(const decision::target_end& target_end, instant now,
-               peer::TargetEnd& message)
+void write_target_end(const decision::target_end& target_end, instant now,
+                      peer::TargetEnd& message)
 {
     message.set_content_high(target_end.content.high);
     message.set_content_low(target_end.content.low);
@@ -74,7 +74,8 @@
     message.set_is_claim(target_end.is_claim);
 }
 
-decision::target_end end_of(const peer::TargetEnd& message, instant now)
+decision::target_end read_target_end(const peer::TargetEnd& message,
+                                     instant now)
 {
     // An end with a time in the future, as another entry may send it, would
     // never expire.
@@ -100,7 +101,7 @@
     }
 }
 
-decision::zone_words zones_of(const peer::Holding& message)
+decision::zone_words read_zones(const peer::Holding& message)
 {
     decision::zone_words zones;
     zones.whole_at = message.zones_whole_at();
@@ -110,24 +111,24 @@
     return zones;
 }
 
-peer::Frame job_end_frame(std::uint64_t number, const piece_outcome& outcome)
+peer::Frame job_end_frame(std::uint64_t number, const job_outcome& outcome)
 {
     peer::Frame frame;
     peer::JobEnd& message = *frame.mutable_job_end();
     message.set_number(number);
-    message.set_end(static_cast<std::uint32_t>(outcome.end));
+    message.set_end(static_cast<std::uint32_t>(outcome.status));
     message.set_was_late(outcome.was_late);
     for (const std::string& handle : outcome.handles)
         message.add_handles(handle);
     return frame;
 }
 
-piece_outcome outcome_of(const peer::JobEnd& message)
+job_outcome read_outcome(const peer::JobEnd& message)
 {
-    piece_outcome outcome;
+    job_outcome outcome;
     constexpr auto last =
         static_cast<std::uint32_t>(decision::job_status::failed);
-    outcome.end =
+    outcome.status =
         static_cast<decision::job_status>(std::min(message.end(), last));
     outcome.was_late = message.was_late();
     outcome.handles.assign(message.handles().begin(), message.handles().end());
@@ -188,8 +189,8 @@
 }
 
 std::vector<decision::listed_target>
-take_targets(const peer::Targets& message,
-             decision::target_directory& directory)
+apply_targets(const peer::Targets& message,
+              decision::target_directory& directory)
 {
     std::vector<decision::listed_target> new_targets;
     for (const peer::Target& received : message.targets())
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -7,7 +7,7 @@
 #include "peer.pb.h"
 #include "serving/asio.hpp"
 #include "serving/frame_socket.hpp"
-#include "serving/piece_maker.hpp"
+#include "serving/job_executor.hpp"
 
 #include <string>
 #include <vector>
@@ -19,19 +19,22 @@
 /// now, since the clocks of instances differ.
 peer::Frame job_frame(const std::string& service,
                       const decision::stage_job& job, instant now);
-decision::stage_job job_of(const peer::Job& message, instant now);
+/// Returns the job of a message received at \a now.
+decision::stage_job read_job(const peer::Job& message, instant now);
 
 /// Writes a target end into a message, with times relative to \a now.
-void write_end(const decision::target_end& target_end, instant now,
-               peer::TargetEnd& message);
-decision::target_end end_of(const peer::TargetEnd& message, instant now);
+void write_target_end(const decision::target_end& target_end, instant now,
+                      peer::TargetEnd& message);
+/// Returns the target end of a message received at \a now.
+decision::target_end read_target_end(const peer::TargetEnd& message,
+                                     instant now);
 
 /// Writes evacuated zones into the state that an entry sends.
 void write_zones(const decision::zone_words& known, peer::Holding& message);
-decision::zone_words zones_of(const peer::Holding& message);
+decision::zone_words read_zones(const peer::Holding& message);
 
-peer::Frame job_end_frame(std::uint64_t number, const piece_outcome& outcome);
-piece_outcome outcome_of(const peer::JobEnd& message);
+peer::Frame job_end_frame(std::uint64_t number, const job_outcome& outcome);
+job_outcome read_outcome(const peer::JobEnd& message);
 
 /// Returns a source of frames that hold all targets of \a directory, in parts.
 frame_socket::part_source
@@ -39,7 +42,7 @@
 
 /// Applies targets received from another entry. Returns those that were new.
 std::vector<decision::listed_target>
-take_targets(const peer::Targets& message,
-             decision::target_directory& directory);
+apply_targets(const peer::Targets& message,
+              decision::target_directory& directory);
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-peer_server::peer_server(entry_context& context, gatherer& batcher,
-                         arrival on_hello, holding_source holding,
-                         text_source catalog_text)
+peer_server::peer_server(entry_context& context, piece_batcher& batcher,
+                         hello_handler on_hello, holding_source holding,
+                         catalog_source catalog_text)
     : m_context(context), m_batcher(batcher),
       m_hello_handler(std::move(on_hello)), m_holding(std::move(holding)),
       m_catalog_text(std::move(catalog_text)), m_acceptor(context.loop)
@@ -50,8 +50,8 @@
 
 void peer_server::handle_ping(const peer::Ping& ping, client_entry& client)
 {
-    take_ends(m_context, ping.news(), client.address);
-    client.target_ends.note_theirs(ping.holding().ends_summary());
+    handle_target_ends(m_context, ping.news(), client.address);
+    client.target_ends.set_peer_summary(ping.holding().ends_summary());
     if (m_ping_handler)
         m_ping_handler(client.address, ping.holding());
     peer::Frame reply;
@@ -74,7 +74,7 @@
     case peer::Frame::kPing:
         return handle_ping(frame.ping(), *client);
     case peer::Frame::kEnds:
-        return take_ends(m_context, frame.ends(), client->address);
+        return handle_target_ends(m_context, frame.ends(), client->address);
     case peer::Frame::kWant:
         return handle_want(frame.want(), socket);
     case peer::Frame::kJob:
@@ -146,8 +146,8 @@
     const auto is_wanted = std::make_shared<bool>(true);
     jobs[message.number()] = is_wanted;
     m_batcher.add(
-        message.service(), job_of(message, m_context.now()),
-        [client, is_wanted, number = message.number()](piece_outcome outcome)
+        message.service(), read_job(message, m_context.now()),
+        [client, is_wanted, number = message.number()](job_outcome outcome)
         {
             const bool is_taken = *is_wanted && client->socket->is_open();
             *is_wanted = false;
@@ -156,7 +156,7 @@
             // Targets may have ended while they ran this job; the entry that
             // submitted it must learn of them before it submits the job again.
             peer::Frame ends_frame;
-            if (outcome.end == decision::job_status::failed &&
+            if (outcome.status == decision::job_status::failed &&
                 client->target_ends.write(*ends_frame.mutable_ends()))
                 client->socket->send(ends_frame);
             client->socket->send(job_end_frame(number, outcome));
--- a/packages/serving/peer_server.hpp
+++ b/packages/serving/peer_server.hpp
@@ -2,7 +2,7 @@
 
 #include "serving/entry_context.hpp"
 #include "serving/frame_socket.hpp"
-#include "serving/gatherer.hpp"
+#include "serving/piece_batcher.hpp"
 #include "serving/target_losses.hpp"
 
 #include <functional>
@@ -19,21 +19,22 @@
 {
 public:
     /// Receives the address at which a connected entry can be reached.
-    using arrival = std::function<void(const std::string& address)>;
-    using text_source = std::function<std::shared_ptr<const std::string>()>;
-    /// Returns the state of this entry, for an entry that knows \a known
-    /// entries.
+    using hello_handler = std::function<void(const std::string& address)>;
+    using catalog_source = std::function<std::shared_ptr<const std::string>()>;
+    /// Returns the state of this entry, for an entry that
+    /// knows \a known_entries of the entries.
     using holding_source =
         std::function<peer::Holding(std::size_t known_entries)>;
 
     /// Receives the state that an entry sends with its pings.
-    using asker_notice = std::function<void(const std::string& address,
+    using ping_handler = std::function<void(const std::string& address,
                                             const peer::Holding& peer_state)>;
 
-    peer_server(entry_context& context, gatherer& batcher, arrival on_hello,
-                holding_source holding, text_source catalog_text);
+    peer_server(entry_context& context, piece_batcher& batcher,
+                hello_handler on_hello, holding_source holding,
+                catalog_source catalog_text);
 
-    void set_asker_notice(asker_notice handler)
+    void set_ping_handler(ping_handler handler)
     {
         m_ping_handler = std::move(handler);
     }
@@ -57,7 +58,7 @@
         frame_socket_ptr socket;
         std::string address; ///< From its hello message; empty before.
         wanted_jobs jobs;
-        end_news target_ends;
+        target_end_sync target_ends;
     };
 
     awaitable<void> serve(frame_socket_ptr socket);
@@ -70,11 +71,11 @@
                     const std::shared_ptr<client_entry>& client);
 
     entry_context& m_context;
-    gatherer& m_batcher;
-    arrival m_hello_handler;
+    piece_batcher& m_batcher;
+    hello_handler m_hello_handler;
     holding_source m_holding;
-    text_source m_catalog_text;
-    asker_notice m_ping_handler;
+    catalog_source m_catalog_text;
+    ping_handler m_ping_handler;
     tcp::acceptor m_acceptor;
     /// Copies in progress.
     std::vector<std::weak_ptr<frame_socket>> m_copy_sockets;
--- a/packages/serving/gatherer.cpp
+++ b/packages/serving/piece_batcher.cpp
@@ -1,4 +1,4 @@
-#include "serving/gatherer.hpp"
+#include "serving/piece_batcher.hpp"
 
 #include "runtime/event.hpp"
 #include "serving/target_call.hpp"
@@ -29,7 +29,7 @@
 
 } // namespace
 
-gatherer::gatherer(entry_context& context) : m_context(context)
+piece_batcher::piece_batcher(entry_context& context) : m_context(context)
 {
     m_estimates.remaining_time =
         [this](const decision::stage_job& job, duration call_time, bool is_late)
@@ -39,7 +39,8 @@
     { return forecast_for(job, call_time, job.is_late).may_start; };
 }
 
-gatherer::service_queue* gatherer::queue_of(const std::string& service)
+piece_batcher::service_queue*
+piece_batcher::queue_of(const std::string& service)
 {
     const auto* found =
         m_context.catalog ? m_context.catalog->find_service(service) : nullptr;
@@ -53,7 +54,8 @@
     return queue.get();
 }
 
-void gatherer::update_targets(const std::string& service, service_queue& queue)
+void piece_batcher::update_targets(const std::string& service,
+                                   service_queue& queue)
 {
     if (queue.directory_changes == m_context.directory.changes())
         return;
@@ -64,7 +66,7 @@
     queue.planner.set_targets(zones);
 }
 
-std::size_t gatherer::jobs() const
+std::size_t piece_batcher::job_count() const
 {
     std::size_t sum = 0;
     for (const auto& [service, queue] : m_queues)
@@ -72,9 +74,9 @@
     return sum;
 }
 
-void gatherer::add(const std::string& service, decision::stage_job job,
-                   outcome_callback done, wanted_check is_wanted,
-                   fetched_callback fetched)
+void piece_batcher::add(const std::string& service, decision::stage_job job,
+                        outcome_callback done, wanted_check is_wanted,
+                        fetched_callback fetched)
 {
     service_queue* queue = queue_of(service);
     if (queue == nullptr)
@@ -95,7 +97,8 @@
     start_calls(service, *queue);
 }
 
-void gatherer::start_calls(const std::string& service, service_queue& queue)
+void piece_batcher::start_calls(const std::string& service,
+                                service_queue& queue)
 {
     update_targets(service, queue);
     while (auto plan = queue.planner.next_call(m_context.now(), m_estimates))
@@ -106,8 +109,8 @@
 }
 
 std::vector<piece_order>
-gatherer::piece_orders(const service_queue& queue,
-                       const decision::planned_call& plan) const
+piece_batcher::piece_orders(const service_queue& queue,
+                            const decision::planned_call& plan) const
 {
     std::vector<piece_order> found;
     const instant now = m_context.now();
@@ -125,8 +128,8 @@
 // Targets fetch inputs at the start of a call; after that the inputs only take
 // up memory that other results need. They are released as soon as they must
 // have arrived, a call's time before the call ends.
-duration gatherer::fetch_time(const service_queue& queue,
-                              const decision::planned_call& plan) const
+duration piece_batcher::fetch_time(const service_queue& queue,
+                                   const decision::planned_call& plan) const
 {
     double bytes = 0;
     for (const decision::piece_ref& ref : plan.pieces)
@@ -138,9 +141,8 @@
                                 fetch_margin * bytes / bytes_per_ns));
 }
 
-awaitable<void> gatherer::report_fetched_inputs(std::string service,
-                                                decision::planned_call plan,
-                                                duration after)
+awaitable<void> piece_batcher::report_fetched_inputs(
+    std::string service, decision::planned_call plan, duration after)
 {
     loop_timer timer(m_context.loop, after);
     error_code ignored; // No other code cancels this timer.
@@ -158,8 +160,8 @@
     }
 }
 
-awaitable<void> gatherer::run_call(std::string service,
-                                   decision::planned_call plan)
+awaitable<void> piece_batcher::run_call(std::string service,
+                                        decision::planned_call plan)
 {
     service_queue& queue = *m_queues.at(service);
     const auto* target = m_context.directory.find(plan.target);
@@ -190,7 +192,7 @@
         sent_call->head().result_int() == ok)
     {
         queue.planner.note_call_answered(plan, now - began, now);
-        note_alive(m_context, plan.target, sent_call->opened_at());
+        record_target_alive(m_context, plan.target, sent_call->opened_at());
         try
         {
             handle_results(
@@ -237,8 +239,8 @@
     start_calls(service, queue);
 }
 
-void gatherer::release(const std::string& service,
-                       const std::vector<std::string>& handles)
+void piece_batcher::release(const std::string& service,
+                            const std::vector<std::string>& handles)
 {
     service_queue* queue = queue_of(service);
     if (queue == nullptr)
@@ -247,7 +249,7 @@
         queue_release(*queue, handle);
 }
 
-awaitable<void> gatherer::send_releases(std::string service)
+awaitable<void> piece_batcher::send_releases(std::string service)
 {
     service_queue& queue = *m_queues.at(service);
     const auto batches = std::exchange(queue.pending_releases, {});
@@ -274,7 +276,7 @@
     }
 }
 
-awaitable<void> gatherer::run()
+awaitable<void> piece_batcher::run()
 {
     loop_timer timer(m_context.loop);
     for (;;)
@@ -282,7 +284,7 @@
         error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
-        for (const auto& [service, times] : waits())
+        for (const auto& [service, times] : wait_times())
             note_wait_times(service, times);
         for (auto& [service, queue] : m_queues)
         {
--- a/packages/serving/gatherer.hpp
+++ b/packages/serving/piece_batcher.hpp
@@ -3,7 +3,7 @@
 #include "decision/call_planner.hpp"
 #include "decision/downstream_backlog.hpp"
 #include "serving/entry_context.hpp"
-#include "serving/piece_maker.hpp"
+#include "serving/job_executor.hpp"
 
 #include <functional>
 #include <map>
@@ -16,33 +16,35 @@
 {
 
 /// Batches the pieces that stage jobs of many requests have for one service
-/// into as few calls to its targets as possible.
-class gatherer
+/// into as few calls to its targets as possible, since each call has a fixed
+/// time that all of its pieces share.
+class piece_batcher
 {
 public:
     /// Receives the outcome of a job. Returns whether the results are still
     /// wanted.
-    using outcome_callback = std::function<bool(piece_outcome)>;
+    using outcome_callback = std::function<bool(job_outcome)>;
     /// Returns whether a request still waits for the job.
     using wanted_check = std::function<bool()>;
     /// Called once the targets no longer need the inputs of the job.
     using fetched_callback = std::function<void()>;
 
-    explicit gatherer(entry_context& context);
+    explicit piece_batcher(entry_context& context);
 
     /// Executes \a job. Exactly one outcome is passed to \a done.
     void add(const std::string& service, decision::stage_job job,
              outcome_callback done, wanted_check is_wanted,
              fetched_callback fetched);
 
+    /// Releases results of \a service, which their targets then delete.
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
 
     /// Returns the number of jobs that have not ended.
-    std::size_t jobs() const;
+    std::size_t job_count() const;
 
     /// Returns the expected wait times of each service batched at this entry.
-    std::map<std::string, decision::service_wait_times> waits() const;
+    std::map<std::string, decision::service_wait_times> wait_times() const;
 
     /// Notes the wait times of a service batched at another entry.
     void note_wait_times(const std::string& service,
@@ -52,6 +54,7 @@
     awaitable<void> run();
 
 private:
+    /// Whom to tell about a job, and what happened to it so far.
     struct accepted_job
     {
         outcome_callback done;
@@ -64,6 +67,7 @@
         std::optional<decision::job_status> failure;
     };
 
+    /// The jobs of one service and the targets that execute them.
     struct service_queue
     {
         explicit service_queue(const catalog::call_shape& shape)
@@ -115,7 +119,7 @@
                         const std::vector<piece_result>& results);
     static void mark_failed(service_queue& queue,
                             const decision::piece_ref& piece,
-                            decision::job_status end);
+                            decision::job_status status);
     void queue_release(service_queue& queue, const std::string& handle);
     static void handle_lost_call(service_queue& queue,
                                  const decision::planned_call& plan);
@@ -124,7 +128,7 @@
     static void requeue(service_queue& queue,
                         const decision::planned_call& plan);
     void end_job(const std::string& service, service_queue& queue,
-                 std::uint64_t number, decision::job_status end,
+                 std::uint64_t number, decision::job_status status,
                  std::vector<std::string> handles, bool was_late = false);
     void end_finished_jobs(const std::string& service, service_queue& queue);
     void end_unwanted_jobs(const std::string& service, service_queue& queue);
--- a/packages/serving/gatherer_outlook.cpp
+++ b/packages/serving/piece_batcher_forecast.cpp
@@ -1,4 +1,4 @@
-#include "serving/gatherer.hpp"
+#include "serving/piece_batcher.hpp"
 
 #include <algorithm>
 
@@ -32,9 +32,9 @@
 // after this one is done. That keeps the next stages busy with short queues. A
 // request that will miss its deadline only takes capacity that the others
 // leave.
-gatherer::downstream_forecast
-gatherer::compute_forecast(const decision::stage_job& job, duration call_time,
-                           bool is_late) const
+piece_batcher::downstream_forecast
+piece_batcher::compute_forecast(const decision::stage_job& job,
+                                duration call_time, bool is_late) const
 {
     const instant now = m_context.now();
     downstream_forecast forecast;
@@ -60,9 +60,9 @@
     return forecast;
 }
 
-const gatherer::downstream_forecast&
-gatherer::forecast_for(const decision::stage_job& job, duration call_time,
-                       bool is_late)
+const piece_batcher::downstream_forecast&
+piece_batcher::forecast_for(const decision::stage_job& job, duration call_time,
+                            bool is_late)
 {
     const instant now = m_context.now();
     if (now > m_forecasts_at + forecast_validity)
@@ -82,14 +82,14 @@
 }
 
 const catalog::call_shape*
-gatherer::call_shape_of(const std::string& service) const
+piece_batcher::call_shape_of(const std::string& service) const
 {
     const auto* found = m_context.catalog->find_service(service);
     return found != nullptr && found->calls ? &*found->calls : nullptr;
 }
 
-void gatherer::note_started_jobs(const service_queue& queue,
-                                 const decision::planned_call& plan)
+void piece_batcher::note_started_jobs(const service_queue& queue,
+                                      const decision::planned_call& plan)
 {
     const instant now = m_context.now();
     m_forecasts.clear();
@@ -122,7 +122,8 @@
     }
 }
 
-std::map<std::string, decision::service_wait_times> gatherer::waits() const
+std::map<std::string, decision::service_wait_times>
+piece_batcher::wait_times() const
 {
     const instant now = m_context.now();
     std::map<std::string, decision::service_wait_times> found;
@@ -134,8 +135,8 @@
     return found;
 }
 
-void gatherer::note_wait_times(const std::string& service,
-                               const decision::service_wait_times& times)
+void piece_batcher::note_wait_times(const std::string& service,
+                                    const decision::service_wait_times& times)
 {
     m_forecasts.clear();
     m_backlog.note_wait_times(service, times, m_context.now());
--- a/packages/serving/gatherer_results.cpp
+++ b/packages/serving/piece_batcher_results.cpp
@@ -1,5 +1,5 @@
 #include "runtime/event.hpp"
-#include "serving/gatherer.hpp"
+#include "serving/piece_batcher.hpp"
 #include "serving/target_losses.hpp"
 
 namespace mangofold::serving
@@ -13,9 +13,9 @@
 
 } // namespace
 
-void gatherer::handle_results(service_queue& queue,
-                              const decision::planned_call& plan,
-                              const std::vector<piece_result>& results)
+void piece_batcher::handle_results(service_queue& queue,
+                                   const decision::planned_call& plan,
+                                   const std::vector<piece_result>& results)
 {
     const instant now = m_context.now();
     if (results.size() != plan.pieces.size())
@@ -56,17 +56,18 @@
     }
 }
 
-void gatherer::mark_failed(service_queue& queue,
-                           const decision::piece_ref& piece,
-                           decision::job_status end)
+void piece_batcher::mark_failed(service_queue& queue,
+                                const decision::piece_ref& piece,
+                                decision::job_status status)
 {
     const auto accepted = queue.jobs.find(piece.job);
     if (accepted != queue.jobs.end())
-        accepted->second.failure = end;
+        accepted->second.failure = status;
     queue.planner.requeue_piece(piece);
 }
 
-void gatherer::queue_release(service_queue& queue, const std::string& handle)
+void piece_batcher::queue_release(service_queue& queue,
+                                  const std::string& handle)
 {
     queue.pending_releases[m_context.speech.maker_of(handle)].push_back(handle);
 }
@@ -74,15 +75,16 @@
 // A full target ran nothing, so no call was lost. When such refusals counted as
 // lost calls, three of them within a call's time failed requests that had
 // seconds left.
-void gatherer::requeue(service_queue& queue, const decision::planned_call& plan)
+void piece_batcher::requeue(service_queue& queue,
+                            const decision::planned_call& plan)
 {
     for (const decision::piece_ref& ref : plan.pieces)
         queue.planner.requeue_piece(ref);
 }
 
-void gatherer::note_target_ends(const service_queue& queue,
-                                const decision::planned_call& plan,
-                                instant began)
+void piece_batcher::note_target_ends(const service_queue& queue,
+                                     const decision::planned_call& plan,
+                                     instant began)
 {
     std::uint64_t last_job = 0;
     for (const decision::piece_ref& ref : plan.pieces)
@@ -90,15 +92,15 @@
         const decision::stage_job* job = queue.planner.find(ref.job);
         if (job == nullptr || ref.job == std::exchange(last_job, ref.job))
             continue;
-        note_target_end(
+        record_target_end(
             m_context,
             {job->content, plan.target, began, m_context.now(), false},
             job->request);
     }
 }
 
-void gatherer::handle_lost_call(service_queue& queue,
-                                const decision::planned_call& plan)
+void piece_batcher::handle_lost_call(service_queue& queue,
+                                     const decision::planned_call& plan)
 {
     std::uint64_t last_job = 0;
     for (const decision::piece_ref& ref : plan.pieces)
@@ -115,9 +117,9 @@
     }
 }
 
-void gatherer::end_job(const std::string& service, service_queue& queue,
-                       std::uint64_t number, decision::job_status end,
-                       std::vector<std::string> handles, bool was_late)
+void piece_batcher::end_job(const std::string& service, service_queue& queue,
+                            std::uint64_t number, decision::job_status status,
+                            std::vector<std::string> handles, bool was_late)
 {
     const auto accepted = queue.jobs.find(number);
     if (accepted == queue.jobs.end())
@@ -125,16 +127,16 @@
     const outcome_callback done = std::move(accepted->second.done);
     queue.jobs.erase(accepted);
     std::vector<std::string> all_handles = handles;
-    const bool is_completed = end == decision::job_status::completed;
+    const bool is_completed = status == decision::job_status::completed;
     if (!is_completed)
         handles.clear();
-    const bool is_taken = done({end, std::move(handles), was_late});
+    const bool is_taken = done({status, std::move(handles), was_late});
     if (!is_completed || !is_taken)
         release(service, all_handles);
 }
 
-void gatherer::end_finished_jobs(const std::string& service,
-                                 service_queue& queue)
+void piece_batcher::end_finished_jobs(const std::string& service,
+                                      service_queue& queue)
 {
     for (auto& done : queue.planner.take_finished())
         end_job(service, queue, done.job.number,
@@ -145,8 +147,8 @@
 // Pieces that no request waits for, or that can't be done in time, only take
 // memory and time from others. Where all targets are evacuated, waiting jobs
 // fail at once instead of when they expire.
-void gatherer::end_unwanted_jobs(const std::string& service,
-                                 service_queue& queue)
+void piece_batcher::end_unwanted_jobs(const std::string& service,
+                                      service_queue& queue)
 {
     const bool is_evacuated = m_context.directory.is_evacuated(service);
     std::vector<std::pair<std::uint64_t, decision::job_status>> ended;
@@ -160,9 +162,9 @@
                  (is_evacuated && !queue.planner.is_in_progress(number)))
             ended.emplace_back(number, decision::job_status::failed);
     }
-    for (const auto& [number, end] : ended)
+    for (const auto& [number, status] : ended)
         if (auto job = queue.planner.take(number))
-            end_job(service, queue, number, end, std::move(job->handles));
+            end_job(service, queue, number, status, std::move(job->handles));
     for (auto& late : queue.planner.take_expired(m_context.now(), m_estimates))
     {
         ++queue.expired_jobs;
@@ -171,7 +173,7 @@
     }
 }
 
-void gatherer::summarize(const std::string& service, service_queue& queue)
+void piece_batcher::summarize(const std::string& service, service_queue& queue)
 {
     if (queue.calls == 0 && queue.planner.waiting_jobs() == 0)
         return;
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -136,7 +136,7 @@
     // Evaluated before this stage itself counts as running.
     const bool is_request_started = has_started();
     state.status = stage_status::running;
-    state.pending = std::make_shared<piece_wait>(m_changed);
+    state.pending = std::make_shared<pending_job>(m_changed);
     decision::stage_job job;
     job.request = m_facts.id;
     job.content = m_content;
@@ -160,7 +160,7 @@
     for (const std::size_t input : stage.after)
         job.input_bytes +=
             m_route.stages.at(input).result_bytes * m_states.at(input).pieces;
-    m_context.pieces->make(stage.service, std::move(job), state.pending);
+    m_context.pieces->execute(stage.service, std::move(job), state.pending);
 }
 
 std::optional<decision::job_status> stage_runner::collect_outcomes()
@@ -169,11 +169,11 @@
     {
         if (state.status != stage_status::running || !state.pending->outcome())
             continue;
-        const piece_outcome& outcome = *state.pending->outcome();
+        const job_outcome& outcome = *state.pending->outcome();
         state.handles = outcome.handles;
         m_is_late = m_is_late || outcome.was_late;
-        if (outcome.end != decision::job_status::completed)
-            return outcome.end;
+        if (outcome.status != decision::job_status::completed)
+            return outcome.status;
         state.status = stage_status::done;
         state.done_at = m_context.now();
     }
@@ -183,7 +183,8 @@
 bool stage_runner::has_fetched_inputs(std::size_t index) const
 {
     const stage_state& state = m_states[index];
-    return state.status == stage_status::running && state.pending->is_fetched();
+    return state.status == stage_status::running &&
+           state.pending->has_fetched_inputs();
 }
 
 // Memory for results is scarce: each result is released as soon as all stages
@@ -245,7 +246,7 @@
     }
 }
 
-std::string stage_runner::done_after(instant began) const
+std::string stage_runner::completion_times(instant began) const
 {
     std::string text;
     for (const stage_state& state : m_states)
@@ -275,7 +276,7 @@
     return handles;
 }
 
-std::map<std::string, std::uint64_t> stage_runner::bytes_by_zone() const
+std::map<std::string, std::uint64_t> stage_runner::result_bytes_by_zone() const
 {
     std::map<std::string, std::uint64_t> bytes;
     for (std::size_t index = 0; index < m_states.size(); ++index)
@@ -301,7 +302,7 @@
     {
         stage_state& state = m_states[index];
         if (state.pending)
-            state.pending->drop();
+            state.pending->cancel();
         if (!state.handles.empty())
             m_context.pieces->release(m_route.stages[index].service,
                                       std::exchange(state.handles, {}));
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "serving/entry_context.hpp"
-#include "serving/piece_maker.hpp"
+#include "serving/job_executor.hpp"
 
 #include <map>
 #include <memory>
@@ -34,7 +34,7 @@
 
     /// Returns the times at which the stages were done, in milliseconds after
     /// \a began, separated by spaces.
-    std::string done_after(instant began) const;
+    std::string completion_times(instant began) const;
 
     /// Whether a stage was started although the request would miss its
     /// deadline.
@@ -46,7 +46,7 @@
 
     /// Returns the size of those results, by the zone of the targets that hold
     /// them.
-    std::map<std::string, std::uint64_t> bytes_by_zone() const;
+    std::map<std::string, std::uint64_t> result_bytes_by_zone() const;
 
     /// Releases all results that are still held.
     void release();
@@ -63,7 +63,7 @@
     {
         stage_status status = stage_status::waiting;
         std::uint32_t pieces = 0;
-        piece_wait_ptr pending;
+        pending_job_ptr pending;
         std::vector<std::string> handles;
         /// Whether all dependents are done with the results.
         bool is_used = false;
--- a/packages/serving/target_losses.cpp
+++ b/packages/serving/target_losses.cpp
@@ -66,9 +66,9 @@
 
 } // namespace
 
-void note_target_end(entry_context& context,
-                     const decision::target_end& target_end,
-                     const std::string& request)
+void record_target_end(entry_context& context,
+                       const decision::target_end& target_end,
+                       const std::string& request)
 {
     if (context.directory.is_leaving(target_end.target))
         return;
@@ -81,7 +81,8 @@
     log_target_end(context, target_end, ends_before, request, "own");
 }
 
-void note_served(entry_context& context, const decision::digest& content)
+void record_content_served(entry_context& context,
+                           const decision::digest& content)
 {
     decision::quarantine& quarantine = context.quarantine;
     const std::size_t ends_before = quarantine.ends().against(content).ends();
@@ -94,8 +95,8 @@
             .info();
 }
 
-void note_alive(entry_context& context, const decision::target_start& target,
-                instant opened)
+void record_target_alive(entry_context& context,
+                         const decision::target_start& target, instant opened)
 {
     decision::target_ends& ends = context.quarantine.ends();
     if (!ends.is_empty())
@@ -103,29 +104,29 @@
                       "alive");
 }
 
-void take_ends(entry_context& context, const peer::TargetEnds& message,
-               const std::string& from)
+void handle_target_ends(entry_context& context, const peer::TargetEnds& message,
+                        const std::string& from)
 {
     decision::target_ends& ends = context.quarantine.ends();
     for (const peer::TargetEnd& message_end : message.ends())
     {
         const decision::target_end target_end =
-            end_of(message_end, context.now());
+            read_target_end(message_end, context.now());
         const std::size_t ends_before = ends.against(target_end.content).ends();
         if (ends.note(target_end, context.now()))
             log_target_end(context, target_end, ends_before, {}, from);
     }
 }
 
-bool end_news::write(peer::TargetEnds& message)
+bool target_end_sync::write(peer::TargetEnds& message)
 {
     const decision::target_ends& ends = m_context.quarantine.ends();
-    if (m_theirs == ends.summary())
+    if (m_peer_summary == ends.summary())
         return false;
     const instant now = m_context.now();
     for (const decision::target_end& target_end :
          ends.since(m_sent, max_ends_per_message, now))
-        write_end(target_end, now, *message.add_ends());
+        write_target_end(target_end, now, *message.add_ends());
     return message.ends_size() > 0;
 }
 
--- a/tests/platform/outside_bytes_test.cpp
+++ b/tests/platform/outside_bytes_test.cpp
@@ -288,10 +288,10 @@
             if (!frame.ParseFromString(text))
                 return;
             decision::target_directory directory;
-            serving::take_targets(frame.targets(), directory);
+            serving::apply_targets(frame.targets(), directory);
             serving::catalog_collector().add(frame.catalog_part());
-            serving::outcome_of(frame.job_end());
-            serving::job_of(frame.job(), decision::instant{});
+            serving::read_outcome(frame.job_end());
+            serving::read_job(frame.job(), decision::instant{});
         }));
 }
 
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -15,7 +15,7 @@
 struct recording_listener : peer_listener
 {
     peer::Holding holding() const override { return {}; }
-    peer::Want note_holding(const std::string&, const peer::Holding&) override
+    peer::Want handle_holding(const std::string&, const peer::Holding&) override
     {
         return {};
     }
@@ -24,15 +24,15 @@
     {
         return watch;
     }
-    void note_declined(const std::string&) override {}
+    void note_copy_declined(const std::string&) override {}
     void note_lost(const std::string&) override { ++lost_count; }
-    void take_catalog(const std::string&, const std::string& text) override
+    void handle_catalog(const std::string&, const std::string& text) override
     {
         catalogs.push_back(text);
     }
     void note_catalog_part(const std::string&) override { ++parts; }
-    void take_targets(const std::string&, const peer::Targets&) override {}
-    void take_back(std::vector<orphaned_job> jobs) override
+    void handle_targets(const std::string&, const peer::Targets&) override {}
+    void take_back_jobs(std::vector<routed_job> jobs) override
     {
         jobs_taken_back += jobs.size();
     }
@@ -54,16 +54,16 @@
         run_until([&] { return link->is_alive(); });
         decision::stage_job job;
         job.request = "r1";
-        wait =
-            std::make_shared<piece_wait>(std::make_shared<signal_point>(loop));
-        link->ask("rerank", job, wait);
+        pending =
+            std::make_shared<pending_job>(std::make_shared<signal_point>(loop));
+        link->submit("rerank", job, pending);
         run_until([&] { return other.asked.size() == 1; });
     }
 
     recording_listener listener;
     test::played_entry other;
     std::shared_ptr<peer_link> link;
-    piece_wait_ptr wait;
+    pending_job_ptr pending;
 };
 
 } // namespace
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -97,7 +97,7 @@
         target.set_born(5);
         target.set_revision(1);
     }
-    take_targets(received, directory);
+    apply_targets(received, directory);
     REQUIRE(directory.serving("plain").size() == 1);
     CHECK(directory.serving("plain")[0]->start ==
           decision::target_start("t-10.0.0.1:80", 5));
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -144,7 +144,7 @@
     evacuate(other, {"a"}, 5);
     peer::Holding message;
     serving::write_zones(other.context->evacuations.known(), message);
-    serving::take_zone_words(*entry.context, serving::zones_of(message), "e");
+    serving::take_zone_words(*entry.context, serving::read_zones(message), "e");
     CHECK(entry.context->evacuations == other.context->evacuations);
     auto& target = entry.add_target("plain", good, "a");
     entry.ask(request("/once/", "r1"), "evacuated");
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -70,7 +70,7 @@
      "    if (!catch_up.asks(address, m_source.state(), m_context.now()))\n"
      "        return false;\n"
      "    if (!before.empty() && before != address)\n"
-     "        drop_copy(before);\n",
+     "        cancel_copy(before);\n",
      "    if (address.empty())\n        return false;\n"
      "    m_target_catch_up.note_lost(before);\n",
      ["grow"], NARROW),
@@ -80,7 +80,7 @@
      ["poison"], ["--entries", "6"]),
     ("entries keep what they know of ends to themselves",
      "packages/serving/target_losses.cpp",
-     "if (m_theirs == ends.summary())", "if (ends.size() > 0)",
+     "if (m_peer_summary == ends.summary())", "if (ends.size() > 0)",
      ["poison"], ["--entries", "6"]),
     ("what was served lately is blamed all the same",
      "packages/decision/quarantine.cpp",
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -76,7 +76,7 @@
     context->evacuations.note_all({{}, 1});
     context->directory.set_source(true, time.now());
     context->pieces = this;
-    gathering = std::make_unique<gatherer>(*context);
+    gathering = std::make_unique<piece_batcher>(*context);
     server = std::make_unique<request_server>(*context);
     start(loop, server->run());
     start(loop, gathering->run());
@@ -172,20 +172,20 @@
     return one->received;
 }
 
-void serving_fixture::make(const std::string& service, decision::stage_job job,
-                           piece_wait_ptr wait)
+void serving_fixture::execute(const std::string& service,
+                              decision::stage_job job, pending_job_ptr wait)
 {
     jobs.push_back(job);
     gathering->add(
         service, std::move(job),
-        [wait](piece_outcome value)
+        [wait](job_outcome value)
         {
-            const bool is_wanted = !wait->is_dropped();
+            const bool is_wanted = !wait->is_cancelled();
             wait->set_outcome(std::move(value));
             return is_wanted;
         },
-        [wait] { return !wait->is_dropped(); },
-        [wait] { wait->set_fetched(); });
+        [wait] { return !wait->is_cancelled(); },
+        [wait] { wait->set_inputs_fetched(); });
 }
 
 void serving_fixture::release(const std::string& service,
--- a/tests/support/serving_fixture.hpp
+++ b/tests/support/serving_fixture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "runtime/paused_clock.hpp"
-#include "serving/gatherer.hpp"
+#include "serving/piece_batcher.hpp"
 #include "serving/request_server.hpp"
 #include "support/plain_dialect.hpp"
 #include "support/scripted_target.hpp"
@@ -15,7 +15,7 @@
 
 /// An entry's request path on loopback, with a paused clock and targets that
 /// a test scripts.
-class serving_fixture : public serving::piece_maker
+class serving_fixture : public serving::job_executor
 {
 public:
     serving_fixture();
@@ -54,12 +54,12 @@
     runtime::paused_clock time;
     plain_dialect speech;
     std::unique_ptr<serving::entry_context> context;
-    std::unique_ptr<serving::gatherer> gathering;
+    std::unique_ptr<serving::piece_batcher> gathering;
     std::unique_ptr<serving::request_server> server;
     std::vector<decision::stage_job> jobs; ///< As they were asked for.
 
-    void make(const std::string& service, decision::stage_job job,
-              serving::piece_wait_ptr wait) override;
+    void execute(const std::string& service, decision::stage_job job,
+                 serving::pending_job_ptr wait) override;
     void release(const std::string& service,
                  std::vector<std::string> handles) override;
 
