--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -16,8 +16,8 @@
 #include "runtime/clock.hpp"
 #include "runtime/metrics.hpp"
 #include "serving/dialect.hpp"
+#include "serving/job_executor.hpp"
 #include "serving/node_settings.hpp"
-#include "serving/piece_maker.hpp"
 #include "serving/target_connection_pool.hpp"
 
 #include <cstdint>
@@ -121,7 +121,7 @@
         decision::decaying_max answer_time;
     };
     std::map<std::string, route_times> times_by_route; ///< By name.
-    piece_maker* pieces = nullptr;
+    job_executor* pieces = nullptr;
     std::map<std::string, decision::retry_budget> retry_budgets;
     std::size_t responding_entries = 1; ///< Including this one.
     std::size_t peak_entries = 1;       ///< Highest number that ever answered.
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -88,7 +88,7 @@
     for (const prompt_part& part : m_facts.prompt)
         result.prompt.push_back({part.id, part.tokens});
     if (m_stages)
-        result.inputs = m_stages->bytes_by_zone();
+        result.inputs = m_stages->result_bytes_by_zone();
     return result;
 }
 
@@ -261,7 +261,7 @@
         forwarded_request, m_facts.id, attempt_timeout());
     if (send_result == target_call::outcome::ok)
     {
-        note_alive(m_context, id, m_call->opened_at());
+        record_target_alive(m_context, id, m_call->opened_at());
         m_context.cold_targets.note_answered(
             id, m_context.warm_up_of(m_service).period, m_context.now());
     }
@@ -321,9 +321,9 @@
         break;
     default:
         m_refusal = refusal::target_lost;
-        note_target_end(m_context,
-                        {content_digest(), target, m_sent_at, now, false},
-                        m_facts.id);
+        record_target_end(m_context,
+                          {content_digest(), target, m_sent_at, now, false},
+                          m_facts.id);
     }
     m_context.count("attempts_failed", "why", to_string(m_refusal));
     if (!is_unsent)
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -84,7 +84,7 @@
     m_context.count("requests_answered", "status", std::to_string(status));
     if (is_success(status))
     {
-        note_served(m_context, content_digest());
+        record_content_served(m_context, content_digest());
         auto& times = m_context.times_by_route[m_route->name];
         times.time_to_first_event.add(m_context.now() - m_sent_at);
         times.answer_time.add(m_context.now() - m_sent_at);
@@ -166,7 +166,8 @@
             co_return attempt_outcome::given_up;
         }
         if (result == target_call::outcome::ok)
-            note_alive(m_context, call.target().start, call.opened_at());
+            record_target_alive(m_context, call.target().start,
+                                call.opened_at());
         else
         {
             const auto outcome =
@@ -186,7 +187,7 @@
                                  : attempt_outcome::retry;
     }
     m_context.count("requests_answered", "status", "200");
-    note_served(m_context, content_digest());
+    record_content_served(m_context, content_digest());
     if (m_sends->sends() == 1)
     {
         auto& times = m_context.times_by_route[m_route->name];
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -77,7 +77,7 @@
             co_return false;
         m_stages_done_at = m_context.now();
         m_are_stages_late = m_stages->is_late();
-        m_stage_times = m_stages->done_after(m_started_at);
+        m_stage_times = m_stages->completion_times(m_started_at);
         if (status == decision::job_status::completed)
             co_return true;
         // Stage results that were lost with the target that produced them are
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -4,7 +4,7 @@
 #include "serving/catalog_parts.hpp"
 #include "serving/entry_context.hpp"
 #include "serving/frame_socket.hpp"
-#include "serving/piece_maker.hpp"
+#include "serving/job_executor.hpp"
 #include "serving/target_losses.hpp"
 
 #include <functional>
@@ -16,102 +16,110 @@
 namespace mangofold::serving
 {
 
-/// Work that another entry was asked for and whose answer will not come.
-struct orphaned_job
+/// A stage job with its service and the request that waits for it.
+struct routed_job
 {
     std::string service;
     decision::stage_job job;
-    piece_wait_ptr wait;
+    pending_job_ptr pending;
 };
 
-/// What an entry does with what it hears from another one.
+/// Handles what an entry receives from another entry over a peer_link.
 class peer_listener
 {
 public:
     virtual ~peer_listener() = default;
 
-    /// Returns what this entry holds.
+    /// Returns the state of this entry that it tells other entries.
     virtual peer::Holding holding() const = 0;
-    /// Takes in what the entry at \a address holds. Returns what to ask it
-    /// for.
-    virtual peer::Want note_holding(const std::string& address,
-                                    const peer::Holding& theirs) = 0;
-    /// Takes in the catalog that the entry at \a address sent.
-    virtual void take_catalog(const std::string& address,
-                              const std::string& text) = 0;
-    /// Notes that a part of a catalog came from the entry at \a address.
+    /// Handles the state of the entry at \a address. Returns what to request
+    /// from it.
+    virtual peer::Want handle_holding(const std::string& address,
+                                      const peer::Holding& peer_state) = 0;
+    /// Handles a catalog received from the entry at \a address.
+    virtual void handle_catalog(const std::string& address,
+                                const std::string& text) = 0;
+    /// Notes that a part of a catalog was received from the entry at \a
+    /// address.
     virtual void note_catalog_part(const std::string& address) = 0;
-    /// Takes in a part of the list of targets.
-    virtual void take_targets(const std::string& address,
-                              const peer::Targets& targets) = 0;
-    /// Notes that the entry at \a address gives no copy now.
-    virtual void note_declined(const std::string& address) = 0;
-    /// Returns how to watch the entry at \a address.
+    /// Handles a part of the list of targets.
+    virtual void handle_targets(const std::string& address,
+                                const peer::Targets& targets) = 0;
+    /// Notes that the entry at \a address declined to send a copy for now.
+    virtual void note_copy_declined(const std::string& address) = 0;
+    /// Returns how often to ping the entry at \a address, and after which
+    /// silence it counts as lost.
     virtual decision::entry_roster::probe_schedule
     watch_of(const std::string& address, bool holds_work) const = 0;
-    /// Notes that the entry at \a address answers no more.
+    /// Notes that the entry at \a address no longer answers.
     virtual void note_lost(const std::string& address) = 0;
-    /// Takes work back from an entry that stopped answering.
-    virtual void take_back(std::vector<orphaned_job> jobs) = 0;
+    /// Takes back jobs from an entry that no longer answers.
+    virtual void take_back_jobs(std::vector<routed_job> jobs) = 0;
 };
 
-/// The connection that this entry keeps to another one, to ask it for things.
+/// The connection from this entry to another one, over which it pings that
+/// entry and sends it jobs and requests for copies.
 class peer_link : public std::enable_shared_from_this<peer_link>
 {
 public:
     peer_link(entry_context& context, peer_listener& listener,
               std::string address);
 
-    /// Connects again and again, until close().
+    /// Connects, and reconnects after each loss, until close().
     awaitable<void> run();
     void close();
 
     const std::string& address() const { return m_address; }
 
-    /// Whether the other entry answered lately.
+    /// Whether the other entry answers.
     bool is_alive() const { return m_is_alive; }
 
-    /// Returns when the other entry last answered.
-    instant heard_at() const { return m_heard_at; }
+    /// Returns when the other entry was last heard from.
+    instant last_heard_at() const { return m_last_heard_at; }
 
-    void ask(const std::string& service, decision::stage_job job,
-             piece_wait_ptr wait);
+    /// Sends \a job to the other entry. Its outcome goes to \a pending; if the
+    /// connection is lost first, the job goes to the listener.
+    void submit(const std::string& service, decision::stage_job job,
+                pending_job_ptr pending);
+    /// Releases results that the other entry had made for this one.
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
 
-    /// Asks the other entry now, not when the next question is due.
-    void ask_now() { m_watch_now.set(); }
+    /// Pings the other entry now instead of at the next interval.
+    void ping_now() { m_ping_now.set(); }
 
-    /// Tells the other entry to send no more of what it sends in parts.
-    void drop_copy();
+    /// Asks the other entry to stop sending a copy in parts.
+    void cancel_copy();
 
 private:
     awaitable<bool> connect();
     awaitable<void> ping();
     awaitable<void> listen();
-    void take(const peer::Frame& frame);
-    void take_pong(const peer::Pong& pong);
-    void tell_ends();
-    void take_part(const peer::CatalogPart& part);
-    void drop_unwanted();
-    bool may_be_back(instant began) const;
-    void ask_again();
-    void lose();
+    void handle_frame(const peer::Frame& frame);
+    void handle_pong(const peer::Pong& pong);
+    void send_target_ends();
+    void handle_catalog_part(const peer::CatalogPart& part);
+    void cancel_unwanted_jobs();
+    bool should_reconnect_at_once(instant connected_at) const;
+    void resubmit_jobs();
+    void handle_loss();
 
     entry_context& m_context;
     peer_listener& m_listener;
     std::string m_address;
     frame_socket_ptr m_socket;
-    std::map<std::uint64_t, orphaned_job> m_asked;
+    std::map<std::uint64_t, routed_job> m_submitted;
     std::uint64_t m_next_number = 1;
-    duration m_connect_time; ///< Of the next try.
-    instant m_heard_at{};
+    duration m_connect_timeout; ///< Time limit of the next attempt to connect.
+    instant m_last_heard_at{};
     bool m_is_alive = false;
-    bool m_is_silent = false;     ///< It answers no more, and was closed here.
-    auto_reset_event m_watch_now; ///< It is to be asked now.
+    /// Whether the connection was closed because the other entry stopped
+    /// answering.
+    bool m_is_silent = false;
+    auto_reset_event m_ping_now; ///< Raised to ping at once.
     bool m_is_closed = false;
     catalog_assembler m_catalog;
-    end_news m_news; ///< On the present connection.
+    target_end_sync m_target_ends; ///< For the current connection.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -14,15 +14,15 @@
 
 constexpr duration tick = std::chrono::milliseconds(500);
 
-/// An entry that has not answered for this long is forgotten, unless the
-/// settings name it; it makes itself known again when it starts.
-constexpr duration forget_after = std::chrono::seconds(30);
+/// An entry that has not answered for this long is removed, unless it is a
+/// seed; it announces itself again when it starts.
+constexpr duration lost_entry_lifetime = std::chrono::seconds(30);
 
 } // namespace
 
 peer_mesh::peer_mesh(entry_context& context, source_reader& source,
-                     gatherer& own)
-    : m_context(context), m_source(source), m_gatherer(own),
+                     piece_batcher& batcher)
+    : m_context(context), m_source(source), m_batcher(batcher),
       m_roster(context.settings.announced_address.text(),
                context.settings.cores)
 {
@@ -33,8 +33,8 @@
 {
     const auto& seeds = m_context.settings.seeds;
     return std::any_of(seeds.begin(), seeds.end(),
-                       [&address](const runtime::address& one)
-                       { return one.text() == address; });
+                       [&address](const runtime::address& seed)
+                       { return seed.text() == address; });
 }
 
 void peer_mesh::add(const std::string& address)
@@ -56,7 +56,7 @@
     start(m_context.loop, link->run());
 }
 
-peer_link* peer_mesh::gathering(const std::string& service)
+peer_link* peer_mesh::batching_peer(const std::string& service)
 {
     m_roster.set_has_catalog(m_context.has_routing_state());
     const auto found = m_links.find(m_roster.batching_entry(service));
@@ -69,115 +69,119 @@
     return m_roster.probe_schedule_for(address, holds_work, m_context.now());
 }
 
-// All entries hear of it at once. They would ask only a second later, and in
-// the meantime those told to stop one after the other hand their work on to
-// the next one that stops.
+// All entries are told at once. Otherwise they would hear of it only with their
+// next ping a second later, and entries that are stopped one after the other
+// would hand their jobs to the one that stops next.
 void peer_mesh::set_stopping()
 {
     m_roster.set_stopping(m_context.now());
     for (const auto& [address, link] : m_links)
-        link->ask_now();
+        link->ping_now();
 }
 
-void peer_mesh::note_asker(const std::string& address,
-                           const peer::Holding& theirs)
+void peer_mesh::handle_ping(const std::string& address,
+                            const peer::Holding& peer_state)
 {
-    apply_zone_evacuations(m_context, zones_of(theirs), address);
-    if (theirs.is_stopping())
-        m_roster.note_stopping(address, m_context.now() -
-                                            duration(theirs.stopping_for_ns()));
+    apply_zone_evacuations(m_context, read_zones(peer_state), address);
+    if (peer_state.is_stopping())
+        m_roster.note_stopping(
+            address, m_context.now() - duration(peer_state.stopping_for_ns()));
 }
 
 void peer_mesh::note_lost(const std::string& address)
 {
     m_roster.note_lost(address);
-    m_lacks_catalog.note_unavailable(address);
-    m_lacks_targets.note_unavailable(address);
+    m_catalog_catch_up.note_unavailable(address);
+    m_target_catch_up.note_unavailable(address);
 }
 
-peer::Holding peer_mesh::holding(std::size_t known) const
+peer::Holding peer_mesh::holding(std::size_t known_entries) const
 {
-    peer::Holding own;
-    own.set_catalog_version(m_context.catalog ? m_context.catalog->version()
-                                              : 0);
-    own.set_targets_digest(m_context.directory.digest());
-    for (const std::string& one : m_roster.sample(known, m_context.random))
-        own.add_entries(one);
-    own.set_cores(m_context.settings.cores);
-    own.set_is_settled(is_settled());
-    own.set_known(static_cast<std::uint32_t>(m_roster.size()));
-    own.set_is_stopping(m_context.is_stopping());
+    peer::Holding state;
+    state.set_catalog_version(m_context.catalog ? m_context.catalog->version()
+                                                : 0);
+    state.set_targets_digest(m_context.directory.digest());
+    for (const std::string& entry :
+         m_roster.sample(known_entries, m_context.random))
+        state.add_entries(entry);
+    state.set_cores(m_context.settings.cores);
+    state.set_is_settled(is_settled());
+    state.set_known(static_cast<std::uint32_t>(m_roster.size()));
+    state.set_is_stopping(m_context.is_stopping());
     if (m_context.drain)
-        own.set_stopping_for_ns(
+        state.set_stopping_for_ns(
             (m_context.now() - m_context.drain->started_at()).count());
-    own.set_has_targets(m_context.has_some_targets);
-    own.set_ends_summary(m_context.quarantine.crashes().summary());
-    write_zones(m_context.evacuations.snapshot(), own);
-    for (const auto& [service, said] : m_gatherer.waits())
+    state.set_has_targets(m_context.has_some_targets);
+    state.set_ends_summary(m_context.quarantine.crashes().summary());
+    write_zones(m_context.evacuations.snapshot(), state);
+    for (const auto& [service, times] : m_batcher.wait_times())
     {
-        peer::Backlog& one = *own.add_backlogs();
-        one.set_service(service);
-        one.set_in_time_ns(said.on_time.count());
-        one.set_wait_ns(said.late.count());
-        one.set_call_ns(said.call_time.count());
+        peer::Backlog& backlog = *state.add_backlogs();
+        backlog.set_service(service);
+        backlog.set_in_time_ns(times.on_time.count());
+        backlog.set_wait_ns(times.late.count());
+        backlog.set_call_ns(times.call_time.count());
     }
-    return own;
+    return state;
 }
 
-void peer_mesh::drop_copy(const std::string& address)
+void peer_mesh::cancel_copy(const std::string& address)
 {
     const auto found = m_links.find(address);
     if (found != m_links.end())
-        found->second->drop_copy();
+        found->second->cancel_copy();
 }
 
-void peer_mesh::note_level(decision::catch_up& lacking)
+void peer_mesh::note_up_to_date(decision::catch_up& catch_up)
 {
-    // What another entry still sends only takes room on the way.
-    if (!lacking.pending_peer().empty())
-        drop_copy(lacking.pending_peer());
-    lacking.note_up_to_date();
+    // A copy that another entry is still sending only takes bandwidth now.
+    if (!catch_up.pending_peer().empty())
+        cancel_copy(catch_up.pending_peer());
+    catch_up.note_up_to_date();
 }
 
-bool peer_mesh::asks(decision::catch_up& lacking, const std::string& address)
+bool peer_mesh::should_request(decision::catch_up& catch_up,
+                               const std::string& address)
 {
-    lacking.set_adoption_time(m_context.settings.max_configuration_delay);
-    const std::string before = lacking.pending_peer();
-    if (!lacking.should_request(address, m_source.source_state(),
-                                m_context.now()))
+    catch_up.set_adoption_time(m_context.settings.max_configuration_delay);
+    const std::string before = catch_up.pending_peer();
+    if (!catch_up.should_request(address, m_source.source_state(),
+                                 m_context.now()))
         return false;
     if (!before.empty() && before != address)
-        drop_copy(before);
+        cancel_copy(before);
     return true;
 }
 
-bool peer_mesh::wants_catalog(const std::string& address,
-                              const peer::Holding& theirs)
+bool peer_mesh::should_request_catalog(const std::string& address,
+                                       const peer::Holding& peer_state)
 {
-    const std::uint64_t own =
+    const std::uint64_t own_version =
         m_context.catalog ? m_context.catalog->version() : 0;
-    m_newest_version = std::max(m_newest_version, theirs.catalog_version());
-    if (own >= m_newest_version)
-        note_level(m_lacks_catalog);
-    if (theirs.catalog_version() <= own || !asks(m_lacks_catalog, address))
+    m_newest_catalog_version =
+        std::max(m_newest_catalog_version, peer_state.catalog_version());
+    if (own_version >= m_newest_catalog_version)
+        note_up_to_date(m_catalog_catch_up);
+    if (peer_state.catalog_version() <= own_version ||
+        !should_request(m_catalog_catch_up, address))
         return false;
     runtime::event("catalog_asked_for")
         .with("entry", address)
-        .with("version", theirs.catalog_version())
-        .with("before", own)
+        .with("version", peer_state.catalog_version())
+        .with("before", own_version)
         .info();
     return true;
 }
 
-bool peer_mesh::wants_targets(const std::string& address,
-                              const peer::Holding& theirs)
+bool peer_mesh::should_request_targets(const std::string& address,
+                                       const peer::Holding& peer_state)
 {
-    if (theirs.targets_digest() == m_context.directory.digest())
+    if (peer_state.targets_digest() == m_context.directory.digest())
     {
-        note_level(m_lacks_targets);
+        note_up_to_date(m_target_catch_up);
         return false;
     }
-    if (!asks(m_lacks_targets, address))
+    if (!should_request(m_target_catch_up, address))
         return false;
     m_context.count("relay_asked", "what", "targets");
     runtime::event("targets_asked_for")
@@ -187,109 +191,113 @@
     return true;
 }
 
-peer::Want peer_mesh::note_holding(const std::string& address,
-                                   const peer::Holding& theirs)
+peer::Want peer_mesh::handle_holding(const std::string& address,
+                                     const peer::Holding& peer_state)
 {
-    m_roster.note_answer(address,
-                         {theirs.cores(), theirs.is_stopping(),
-                          theirs.is_settled(), theirs.known(),
-                          theirs.catalog_version() > 0 && theirs.has_targets(),
-                          duration(theirs.stopping_for_ns())},
-                         m_context.now());
+    m_roster.note_answer(
+        address,
+        {peer_state.cores(), peer_state.is_stopping(), peer_state.is_settled(),
+         peer_state.known(),
+         peer_state.catalog_version() > 0 && peer_state.has_targets(),
+         duration(peer_state.stopping_for_ns())},
+        m_context.now());
     m_context.peak_entries = std::max(m_context.peak_entries, m_roster.size());
-    apply_zone_evacuations(m_context, zones_of(theirs), address);
-    for (const std::string& one : theirs.entries())
-        add(one);
-    for (const peer::Backlog& one : theirs.backlogs())
-        m_gatherer.note_wait(one.service(), {duration(one.in_time_ns()),
-                                             duration(one.wait_ns()),
-                                             duration(one.call_ns())});
+    apply_zone_evacuations(m_context, read_zones(peer_state), address);
+    for (const std::string& entry : peer_state.entries())
+        add(entry);
+    for (const peer::Backlog& backlog : peer_state.backlogs())
+        m_batcher.note_wait_times(backlog.service(),
+                                  {duration(backlog.in_time_ns()),
+                                   duration(backlog.wait_ns()),
+                                   duration(backlog.call_ns())});
     peer::Want want;
-    want.set_catalog(wants_catalog(address, theirs));
-    // One thing at a time: both would share the way.
-    if (m_lacks_catalog.pending_peer().empty())
-        want.set_targets(wants_targets(address, theirs));
+    want.set_catalog(should_request_catalog(address, peer_state));
+    // One copy at a time: two would share the bandwidth.
+    if (m_catalog_catch_up.pending_peer().empty())
+        want.set_targets(should_request_targets(address, peer_state));
     return want;
 }
 
 void peer_mesh::note_catalog_part(const std::string& address)
 {
-    m_lacks_catalog.note_progress(address, m_context.now());
+    m_catalog_catch_up.note_progress(address, m_context.now());
 }
 
-void peer_mesh::take_catalog(const std::string& address,
-                             const std::string& text)
+void peer_mesh::handle_catalog(const std::string& address,
+                               const std::string& text)
 {
     runtime::event("catalog_received")
         .with("entry", address)
         .with("bytes", text.size())
         .info();
-    m_lacks_catalog.note_complete(address, m_context.now());
+    m_catalog_catch_up.note_complete(address, m_context.now());
     m_source.apply_catalog(text, "entry");
 }
 
-void peer_mesh::note_declined(const std::string& address)
+void peer_mesh::note_copy_declined(const std::string& address)
 {
-    m_lacks_catalog.note_unavailable(address);
-    m_lacks_targets.note_unavailable(address);
+    m_catalog_catch_up.note_unavailable(address);
+    m_target_catch_up.note_unavailable(address);
 }
 
-void peer_mesh::take_targets(const std::string& address,
-                             const peer::Targets& targets)
+void peer_mesh::handle_targets(const std::string& address,
+                               const peer::Targets& targets)
 {
-    for (const decision::listed_target& one :
-         serving::take_targets(targets, m_context.directory))
-        m_context.note_cold(one);
+    for (const decision::listed_target& target :
+         serving::apply_targets(targets, m_context.directory))
+        m_context.note_cold(target);
     m_context.has_some_targets =
         m_context.has_some_targets || targets.targets_size();
     if (targets.has_more())
-        m_lacks_targets.note_progress(address, m_context.now());
+        m_target_catch_up.note_progress(address, m_context.now());
     else
-        m_lacks_targets.note_complete(address, m_context.now());
+        m_target_catch_up.note_complete(address, m_context.now());
 }
 
-void peer_mesh::take_back(std::vector<orphaned_job> jobs)
+void peer_mesh::take_back_jobs(std::vector<routed_job> jobs)
 {
-    if (m_sink)
-        m_sink(std::move(jobs));
+    if (m_job_sink)
+        m_job_sink(std::move(jobs));
 }
 
-void peer_mesh::forget_lost()
+void peer_mesh::remove_lost_entries()
 {
     const instant now = m_context.now();
-    for (auto one = m_links.begin(); one != m_links.end();)
+    for (auto link = m_links.begin(); link != m_links.end();)
     {
-        const instant last =
-            std::max(one->second->heard_at(), m_added_at[one->first]);
-        if (one->second->is_alive() || is_seed(one->first) ||
-            now < last + forget_after)
+        const instant last_heard_at =
+            std::max(link->second->last_heard_at(), m_added_at[link->first]);
+        if (link->second->is_alive() || is_seed(link->first) ||
+            now < last_heard_at + lost_entry_lifetime)
         {
-            ++one;
+            ++link;
             continue;
         }
-        one->second->close();
-        m_added_at.erase(one->first);
-        one = m_links.erase(one);
+        link->second->close();
+        m_added_at.erase(link->first);
+        link = m_links.erase(link);
     }
 }
 
 void peer_mesh::update_services()
 {
-    if (!m_context.catalog || m_context.catalog->version() == m_services_of)
+    if (!m_context.catalog ||
+        m_context.catalog->version() == m_services_version)
         return;
-    m_services_of = m_context.catalog->version();
+    m_services_version = m_context.catalog->version();
     std::vector<std::string> services;
-    for (const catalog::service& one : m_context.catalog->content().services)
-        if (one.calls)
-            services.push_back(one.name);
+    for (const catalog::service& service :
+         m_context.catalog->content().services)
+        if (service.calls)
+            services.push_back(service.name);
     m_roster.set_services(std::move(services));
 }
 
 void peer_mesh::set_started()
 {
     std::vector<std::string> seeds;
-    for (const runtime::address& one : m_context.settings.seeds)
-        seeds.push_back(one.text());
+    for (const runtime::address& seed : m_context.settings.seeds)
+        seeds.push_back(seed.text());
     m_roster.set_started(std::move(seeds), m_context.now());
 }
 
@@ -298,13 +306,13 @@
     loop_timer timer(m_context.loop);
     for (;;)
     {
-        // The settings can name other ones while this process runs.
-        for (const runtime::address& one : m_context.settings.seeds)
-            add(one.text());
-        error_code ignored; // Nobody cancels it.
+        // The seeds can change with the settings while this process runs.
+        for (const runtime::address& seed : m_context.settings.seeds)
+            add(seed.text());
+        error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
         co_await timer.async_wait(into(ignored));
-        forget_lost();
+        remove_lost_entries();
         update_services();
         m_context.responding_entries = m_roster.size();
         m_source.end_long_watch();
--- a/packages/serving/peer_mesh.hpp
+++ b/packages/serving/peer_mesh.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "decision/catch_up.hpp"
-#include "serving/gatherer.hpp"
 #include "serving/peer_link.hpp"
+#include "serving/piece_batcher.hpp"
 #include "serving/source_reader.hpp"
 
 #include <map>
@@ -13,84 +13,96 @@
 namespace mangofold::serving
 {
 
-/// The other entries: finds them from a few known ones, sees which answer,
-/// and evens out what they hold.
+/// The links to all other entries: discovers entries from a few seeds, tracks
+/// which of them answer, and exchanges the catalog and the list of targets with
+/// them.
 class peer_mesh : public peer_listener
 {
 public:
-    peer_mesh(entry_context& context, source_reader& source, gatherer& own);
+    peer_mesh(entry_context& context, source_reader& source,
+              piece_batcher& batcher);
 
-    /// Starts with the known entries, and drives what depends on time only.
+    /// Connects to the seeds and runs the periodic work.
     awaitable<void> run();
 
-    /// Notes that an entry can be reached at \a address.
+    /// Adds the entry that can be reached at \a address.
     void add(const std::string& address);
 
-    /// Returns the link to the entry that gathers \a service, or nothing
-    /// where this one does.
-    peer_link* gathering(const std::string& service);
+    /// Returns the link to the entry that batches \a service, or nothing if
+    /// this entry does.
+    peer_link* batching_peer(const std::string& service);
 
     /// Notes that this entry starts now and knows its seeds only.
     void set_started();
 
-    /// Whether this entry has seen enough of the others to say who gathers.
+    /// Whether this entry has seen enough of the others to determine which
+    /// entry batches a service.
     bool is_settled() const { return m_roster.is_settled(m_context.now()); }
 
-    /// Returns the place of this entry among all for \a matter.
+    /// Returns the position of this entry in the order of all entries for \a
+    /// matter.
     decision::ordinal seat_for(const std::string& matter) const
     {
         return m_roster.ordinal_for(matter);
     }
 
-    /// Notes that this entry is about to end.
+    /// Notes that this entry is stopping.
     void set_stopping();
 
-    /// Whether enough others go on for longer to take this one's callers.
+    /// Whether enough other entries keep running longer than this one to take
+    /// over its callers.
     bool is_outlasted() const { return m_roster.is_outlasted(); }
 
-    /// Takes in what an entry that asks this one says of itself.
-    void note_asker(const std::string& address, const peer::Holding& theirs);
+    /// Handles the state that the entry at \a address sent with a ping.
+    void handle_ping(const std::string& address,
+                     const peer::Holding& peer_state);
 
-    using work_sink = std::function<void(std::vector<orphaned_job>)>;
-    void set_work_sink(work_sink sink) { m_sink = std::move(sink); }
+    using job_sink = std::function<void(std::vector<routed_job>)>;
+    void set_job_sink(job_sink sink) { m_job_sink = std::move(sink); }
 
-    /// Returns what this entry holds, for one that knows \a known entries.
-    peer::Holding holding(std::size_t known) const;
+    /// Returns the state of this entry, for an entry that
+    /// knows \a known_entries of the entries.
+    peer::Holding holding(std::size_t known_entries) const;
     peer::Holding holding() const override { return holding(m_roster.size()); }
-    peer::Want note_holding(const std::string& address,
-                            const peer::Holding& theirs) override;
+    peer::Want handle_holding(const std::string& address,
+                              const peer::Holding& peer_state) override;
     decision::entry_roster::probe_schedule
     watch_of(const std::string& address, bool holds_work) const override;
     void note_lost(const std::string& address) override;
-    void take_catalog(const std::string& address,
-                      const std::string& text) override;
+    void handle_catalog(const std::string& address,
+                        const std::string& text) override;
     void note_catalog_part(const std::string& address) override;
-    void note_declined(const std::string& address) override;
-    void take_targets(const std::string& address,
-                      const peer::Targets& targets) override;
-    void take_back(std::vector<orphaned_job> jobs) override;
+    void note_copy_declined(const std::string& address) override;
+    void handle_targets(const std::string& address,
+                        const peer::Targets& targets) override;
+    void take_back_jobs(std::vector<routed_job> jobs) override;
 
 private:
-    void forget_lost();
+    void remove_lost_entries();
     void update_services();
-    bool wants_catalog(const std::string& address, const peer::Holding& theirs);
-    bool wants_targets(const std::string& address, const peer::Holding& theirs);
-    bool asks(decision::catch_up& lacking, const std::string& address);
-    void note_level(decision::catch_up& lacking);
-    void drop_copy(const std::string& address);
+    bool should_request_catalog(const std::string& address,
+                                const peer::Holding& peer_state);
+    bool should_request_targets(const std::string& address,
+                                const peer::Holding& peer_state);
+    bool should_request(decision::catch_up& catch_up,
+                        const std::string& address);
+    void note_up_to_date(decision::catch_up& catch_up);
+    void cancel_copy(const std::string& address);
     bool is_seed(const std::string& address) const;
 
     entry_context& m_context;
     source_reader& m_source;
-    gatherer& m_gatherer;
+    piece_batcher& m_batcher;
     decision::entry_roster m_roster;
-    std::uint64_t m_services_of = 0;    ///< Catalog version.
-    std::uint64_t m_newest_version = 0; ///< Of a catalog that any entry holds.
-    decision::catch_up m_lacks_catalog;
-    decision::catch_up m_lacks_targets;
+    /// Catalog version of the services that m_roster was given.
+    std::uint64_t m_services_version = 0;
+    /// Newest catalog version held by any entry.
+    std::uint64_t m_newest_catalog_version = 0;
+    decision::catch_up m_catalog_catch_up;
+    decision::catch_up m_target_catch_up;
     std::map<std::string, std::shared_ptr<peer_link>> m_links;
     std::map<std::string, instant> m_added_at;
-    work_sink m_sink;
+    job_sink m_job_sink;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -20,8 +20,8 @@
     message.set_stage(job.stage);
     message.set_pieces(job.pieces);
     message.set_key(job.key);
-    for (const std::string& one : job.inputs)
-        message.add_inputs(one);
+    for (const std::string& input : job.inputs)
+        message.add_inputs(input);
     message.set_result_bytes(job.result_bytes);
     message.set_input_bytes(job.input_bytes);
     message.set_is_late(job.is_late);
@@ -30,16 +30,16 @@
     message.set_yields_ns(job.priority_delay.count());
     message.set_due_in_ns((job.due - now).count());
     message.set_expires_in_ns((job.expires - now).count());
-    for (const decision::downstream_pieces& one : job.downstream)
+    for (const decision::downstream_pieces& stage : job.downstream)
     {
         peer::LaterPieces& later = *message.add_later();
-        later.set_service(one.service);
-        later.set_pieces(one.pieces);
+        later.set_service(stage.service);
+        later.set_pieces(stage.pieces);
     }
     return frame;
 }
 
-decision::stage_job job_of(const peer::Job& message, instant now)
+decision::stage_job read_job(const peer::Job& message, instant now)
 {
     decision::stage_job job;
     job.request = message.request();
@@ -56,27 +56,29 @@
     job.priority_delay = duration(message.yields_ns());
     job.due = now + duration(message.due_in_ns());
     job.expires = now + duration(message.expires_in_ns());
-    for (const peer::LaterPieces& one : message.later())
-        job.downstream.push_back({one.service(), one.pieces()});
+    for (const peer::LaterPieces& later : message.later())
+        job.downstream.push_back({later.service(), later.pieces()});
     return job;
 }
 
-void write_end(const decision::target_crash& one, instant now,
-               peer::TargetEnd& message)
+void write_target_end(const decision::target_crash& target_end, instant now,
+                      peer::TargetEnd& message)
 {
-    message.set_content_high(one.content.high);
-    message.set_content_low(one.content.low);
-    message.set_target(one.target.id);
-    message.set_born(one.target.started_ms);
-    message.set_began_ago_ns((now - one.started_at).count());
-    message.set_ended_ago_ns((now - one.crashed_at).count());
-    message.set_is_refuted(one.is_refuted);
-    message.set_is_claim(one.is_claim);
+    message.set_content_high(target_end.content.high);
+    message.set_content_low(target_end.content.low);
+    message.set_target(target_end.target.id);
+    message.set_born(target_end.target.started_ms);
+    message.set_began_ago_ns((now - target_end.started_at).count());
+    message.set_ended_ago_ns((now - target_end.crashed_at).count());
+    message.set_is_refuted(target_end.is_refuted);
+    message.set_is_claim(target_end.is_claim);
 }
 
-decision::target_crash end_of(const peer::TargetEnd& message, instant now)
+decision::target_crash read_target_end(const peer::TargetEnd& message,
+                                       instant now)
 {
-    // One that another entry says is still to come would never be forgotten.
+    // An end with a time in the future, as another entry may send it, would
+    // never expire.
     const duration ended(std::max<std::int64_t>(0, message.ended_ago_ns()));
     const duration began(message.began_ago_ns());
     return {{message.content_high(), message.content_low()},
@@ -90,42 +92,43 @@
 void write_zones(const decision::zone_snapshot& known, peer::Holding& message)
 {
     message.set_zones_whole_at(known.complete_as_of);
-    for (const decision::zone_state& one : known.states)
+    for (const decision::zone_state& word : known.states)
     {
         peer::Zone& zone = *message.add_zones();
-        zone.set_name(one.zone);
-        zone.set_revision(one.revision);
-        zone.set_is_evacuated(one.is_evacuated);
+        zone.set_name(word.zone);
+        zone.set_revision(word.revision);
+        zone.set_is_evacuated(word.is_evacuated);
     }
 }
 
-decision::zone_snapshot zones_of(const peer::Holding& message)
+decision::zone_snapshot read_zones(const peer::Holding& message)
 {
-    decision::zone_snapshot told;
-    told.complete_as_of = message.zones_whole_at();
-    for (const peer::Zone& one : message.zones())
-        told.states.push_back({one.name(), one.revision(), one.is_evacuated()});
-    return told;
+    decision::zone_snapshot zones;
+    zones.complete_as_of = message.zones_whole_at();
+    for (const peer::Zone& zone : message.zones())
+        zones.states.push_back(
+            {zone.name(), zone.revision(), zone.is_evacuated()});
+    return zones;
 }
 
-peer::Frame job_end_frame(std::uint64_t number, const piece_outcome& outcome)
+peer::Frame job_end_frame(std::uint64_t number, const job_outcome& outcome)
 {
     peer::Frame frame;
     peer::JobEnd& message = *frame.mutable_job_end();
     message.set_number(number);
-    message.set_end(static_cast<std::uint32_t>(outcome.end));
+    message.set_end(static_cast<std::uint32_t>(outcome.status));
     message.set_was_late(outcome.was_late);
-    for (const std::string& one : outcome.handles)
-        message.add_handles(one);
+    for (const std::string& handle : outcome.handles)
+        message.add_handles(handle);
     return frame;
 }
 
-piece_outcome outcome_of(const peer::JobEnd& message)
+job_outcome read_outcome(const peer::JobEnd& message)
 {
-    piece_outcome outcome;
+    job_outcome outcome;
     constexpr auto last =
         static_cast<std::uint32_t>(decision::job_status::failed);
-    outcome.end =
+    outcome.status =
         static_cast<decision::job_status>(std::min(message.end(), last));
     outcome.was_late = message.was_late();
     outcome.handles.assign(message.handles().begin(), message.handles().end());
@@ -135,8 +138,8 @@
 namespace
 {
 
-/// Some 10 KB: what is urgent waits behind one part at most.
-constexpr std::size_t targets_in_part = 100;
+/// About 10 KB: an urgent frame waits behind one part at most.
+constexpr std::size_t targets_per_part = 100;
 
 bool is_address(const std::string& text)
 {
@@ -151,18 +154,18 @@
     }
 }
 
-void write_target(const decision::listed_target& one, peer::Target& target)
+void write_target(const decision::listed_target& listed, peer::Target& target)
 {
-    target.set_id(one.incarnation.id);
-    target.set_born(one.incarnation.started_ms);
-    target.set_service(one.service);
-    target.set_address(one.address);
-    target.set_zone(one.zone);
-    target.set_slots(one.slots);
-    target.set_is_leaving(one.is_leaving);
-    target.set_is_removed(one.address.empty());
-    target.set_cold_for_ns(one.warm_up_left.count());
-    target.set_revision(one.revision);
+    target.set_id(listed.incarnation.id);
+    target.set_born(listed.incarnation.started_ms);
+    target.set_service(listed.service);
+    target.set_address(listed.address);
+    target.set_zone(listed.zone);
+    target.set_slots(listed.slots);
+    target.set_is_leaving(listed.is_leaving);
+    target.set_is_removed(listed.address.empty());
+    target.set_cold_for_ns(listed.warm_up_left.count());
+    target.set_revision(listed.revision);
 }
 
 } // namespace
@@ -170,46 +173,47 @@
 frame_socket::part_source
 target_parts(const decision::target_directory& directory)
 {
-    return [all = directory.all(), at = std::size_t{0},
+    return [all = directory.all(), next = std::size_t{0},
             is_done = false](peer::Frame& frame) mutable
     {
         if (is_done)
             return false;
         peer::Targets& message = *frame.mutable_targets();
-        const std::size_t end = std::min(at + targets_in_part, all.size());
-        for (; at < end; ++at)
-            write_target(all[at], *message.add_targets());
-        is_done = at == all.size();
+        const std::size_t end = std::min(next + targets_per_part, all.size());
+        for (; next < end; ++next)
+            write_target(all[next], *message.add_targets());
+        is_done = next == all.size();
         message.set_has_more(!is_done);
         return true;
     };
 }
 
 std::vector<decision::listed_target>
-take_targets(const peer::Targets& message,
-             decision::target_directory& directory)
+apply_targets(const peer::Targets& message,
+              decision::target_directory& directory)
 {
-    std::vector<decision::listed_target> news;
-    for (const peer::Target& one : message.targets())
+    std::vector<decision::listed_target> new_targets;
+    for (const peer::Target& received : message.targets())
     {
-        // Another entry may know less of what an address is than this one.
-        if (one.is_removed() || !is_address(one.address()))
+        // Another entry may validate addresses less strictly than this one.
+        if (received.is_removed() || !is_address(received.address()))
         {
-            directory.note_confirmed_removal(one.id(), one.revision());
+            directory.note_confirmed_removal(received.id(),
+                                             received.revision());
             continue;
         }
-        decision::listed_target target{{one.id(), one.born()},
-                                       one.service(),
-                                       one.address(),
-                                       one.zone(),
-                                       one.slots(),
-                                       one.is_leaving(),
-                                       one.revision(),
-                                       duration(one.cold_for_ns())};
+        decision::listed_target target{{received.id(), received.born()},
+                                       received.service(),
+                                       received.address(),
+                                       received.zone(),
+                                       received.slots(),
+                                       received.is_leaving(),
+                                       received.revision(),
+                                       duration(received.cold_for_ns())};
         if (directory.note(target))
-            news.push_back(std::move(target));
+            new_targets.push_back(std::move(target));
     }
-    return news;
+    return new_targets;
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_server.hpp
+++ b/packages/serving/peer_server.hpp
@@ -2,7 +2,7 @@
 
 #include "serving/entry_context.hpp"
 #include "serving/frame_socket.hpp"
-#include "serving/gatherer.hpp"
+#include "serving/piece_batcher.hpp"
 #include "serving/target_losses.hpp"
 
 #include <functional>
@@ -14,65 +14,71 @@
 namespace mangofold::serving
 {
 
-/// Answers what other entries ask this one.
+/// Serves the requests of other entries on connections that they opened.
 class peer_server
 {
 public:
-    /// Takes the address at which an entry that connected can be reached.
-    using arrival = std::function<void(const std::string& address)>;
-    using text_source = std::function<std::shared_ptr<const std::string>()>;
-    /// Returns what this entry holds, for one that knows so many entries.
-    using holding_source = std::function<peer::Holding(std::size_t known)>;
+    /// Receives the address at which a connected entry can be reached.
+    using hello_handler = std::function<void(const std::string& address)>;
+    using catalog_source = std::function<std::shared_ptr<const std::string>()>;
+    /// Returns the state of this entry, for an entry that
+    /// knows \a known_entries of the entries.
+    using holding_source =
+        std::function<peer::Holding(std::size_t known_entries)>;
 
-    /// Takes what an entry that asks says of itself.
-    using asker_notice = std::function<void(const std::string& address,
-                                            const peer::Holding& theirs)>;
+    /// Receives the state that an entry sends with its pings.
+    using ping_handler = std::function<void(const std::string& address,
+                                            const peer::Holding& peer_state)>;
 
-    peer_server(entry_context& context, gatherer& own, arrival arrived,
-                holding_source holding, text_source catalog_text);
+    peer_server(entry_context& context, piece_batcher& batcher,
+                hello_handler on_hello, holding_source holding,
+                catalog_source catalog_text);
 
-    void set_asker_notice(asker_notice notice)
+    void set_ping_handler(ping_handler handler)
     {
-        m_asker_notice = std::move(notice);
+        m_ping_handler = std::move(handler);
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections until the process ends.
     awaitable<void> run();
 
 private:
-    /// What one connected entry has asked for, by its own numbers. True while
-    /// it still wants it.
-    using asked_jobs = std::map<std::uint64_t, std::shared_ptr<bool>>;
+    /// The jobs that a connected entry has submitted, by the numbers that it
+    /// gave them. True while the job is still wanted.
+    using wanted_jobs = std::map<std::uint64_t, std::shared_ptr<bool>>;
 
     /// One connected entry.
-    struct asker
+    struct client_entry
     {
-        asker(entry_context& context, frame_socket_ptr its_socket)
-            : socket(std::move(its_socket)), news(context)
+        client_entry(entry_context& context, frame_socket_ptr client_socket)
+            : socket(std::move(client_socket)), target_ends(context)
         {
         }
 
         frame_socket_ptr socket;
-        std::string address; ///< As it says; empty before it does.
-        asked_jobs jobs;
-        end_news news;
+        std::string address; ///< From its hello message; empty before.
+        wanted_jobs jobs;
+        target_end_sync target_ends;
     };
 
     awaitable<void> serve(frame_socket_ptr socket);
-    void take(const peer::Frame& frame, const std::shared_ptr<asker>& from);
-    void take_ping(const peer::Ping& ping, asker& from);
-    void take_want(const peer::Want& want, const frame_socket_ptr& socket);
-    bool admits_copy(const frame_socket_ptr& socket);
-    void take_job(const peer::Job& message, const std::shared_ptr<asker>& from);
+    void handle_frame(const peer::Frame& frame,
+                      const std::shared_ptr<client_entry>& client);
+    void handle_ping(const peer::Ping& ping, client_entry& client);
+    void handle_want(const peer::Want& want, const frame_socket_ptr& socket);
+    bool try_start_copy(const frame_socket_ptr& socket);
+    void handle_job(const peer::Job& message,
+                    const std::shared_ptr<client_entry>& client);
 
     entry_context& m_context;
-    gatherer& m_gatherer;
-    arrival m_arrived;
+    piece_batcher& m_batcher;
+    hello_handler m_hello_handler;
     holding_source m_holding;
-    text_source m_catalog_text;
-    asker_notice m_asker_notice;
+    catalog_source m_catalog_text;
+    ping_handler m_ping_handler;
     tcp::acceptor m_acceptor;
-    std::vector<std::weak_ptr<frame_socket>> m_copied_to; ///< Under way.
+    /// Copies in progress.
+    std::vector<std::weak_ptr<frame_socket>> m_copy_sockets;
 };
 
 } // namespace mangofold::serving
--- /dev/null
+++ b/packages/serving/piece_batcher.cpp
@@ -0,0 +1,308 @@
+#include "serving/piece_batcher.hpp"
+
+#include "runtime/event.hpp"
+#include "serving/target_call.hpp"
+#include "serving/target_losses.hpp"
+
+namespace mangofold::serving
+{
+
+namespace
+{
+
+/// How often expired jobs and results to release are looked for: a tenth of a
+/// call's fixed time.
+constexpr duration tick = std::chrono::milliseconds(20);
+
+/// A call is aborted after its expected time multiplied by this factor, plus
+/// this margin: its target is unreachable. A target that only became slow has a
+/// higher expected time by its next call.
+constexpr int timeout_factor = 3;
+constexpr duration timeout_margin = std::chrono::milliseconds(300);
+
+/// The longest time that a target takes to fetch the inputs of a call: a fixed
+/// part, plus this multiple of the transfer time of the bytes.
+constexpr duration min_fetch_time = std::chrono::milliseconds(40);
+constexpr double fetch_margin = 4;
+
+constexpr duration summary_interval = std::chrono::seconds(1);
+
+} // namespace
+
+piece_batcher::piece_batcher(entry_context& context) : m_context(context)
+{
+    m_estimates.remaining_time =
+        [this](const decision::stage_job& job, duration call_time, bool is_late)
+    { return forecast_for(job, call_time, is_late).remaining_time; };
+    m_estimates.may_start =
+        [this](const decision::stage_job& job, duration call_time)
+    { return forecast_for(job, call_time, job.is_late).may_start; };
+}
+
+piece_batcher::service_queue*
+piece_batcher::queue_of(const std::string& service)
+{
+    const auto* found =
+        m_context.catalog ? m_context.catalog->find_service(service) : nullptr;
+    if (found == nullptr || !found->calls)
+        return nullptr;
+    auto& queue = m_queues[service];
+    if (!queue)
+        queue = std::make_unique<service_queue>(*found->calls);
+    queue->planner.set_shape(*found->calls);
+    update_targets(service, *queue);
+    return queue.get();
+}
+
+void piece_batcher::update_targets(const std::string& service,
+                                   service_queue& queue)
+{
+    if (queue.directory_changes == m_context.directory.change_count())
+        return;
+    queue.directory_changes = m_context.directory.change_count();
+    std::map<decision::target_incarnation, std::string> zones;
+    for (const auto* target : m_context.directory.serving(service))
+        zones[target->incarnation] = target->zone;
+    queue.planner.set_targets(zones);
+}
+
+std::size_t piece_batcher::job_count() const
+{
+    std::size_t sum = 0;
+    for (const auto& [service, queue] : m_queues)
+        sum += queue->jobs.size();
+    return sum;
+}
+
+void piece_batcher::add(const std::string& service, decision::stage_job job,
+                        outcome_callback done, wanted_check is_wanted,
+                        fetched_callback fetched)
+{
+    service_queue* queue = queue_of(service);
+    if (queue == nullptr)
+    {
+        done({decision::job_status::failed, {}, false});
+        return;
+    }
+    job.number = m_next_number++;
+    job.queued_at = m_context.now();
+    queue->jobs[job.number] = {std::move(done),
+                               std::move(is_wanted),
+                               std::move(fetched),
+                               false,
+                               0,
+                               {}};
+    queue->last_job_at = m_context.now();
+    queue->planner.add(std::move(job));
+    start_calls(service, *queue);
+}
+
+void piece_batcher::start_calls(const std::string& service,
+                                service_queue& queue)
+{
+    update_targets(service, queue);
+    while (auto plan = queue.planner.next_call(m_context.now(), m_estimates))
+    {
+        note_started_jobs(queue, *plan);
+        start(m_context.loop, run_call(service, std::move(*plan)));
+    }
+}
+
+std::vector<piece_order>
+piece_batcher::piece_orders(const service_queue& queue,
+                            const decision::planned_call& plan) const
+{
+    std::vector<piece_order> found;
+    const instant now = m_context.now();
+    for (const decision::piece_ref& ref : plan.pieces)
+    {
+        const decision::stage_job* job = queue.planner.find(ref.job);
+        if (job == nullptr)
+            continue;
+        found.push_back({job->request, job->stage, ref.piece,
+                         until(job->expires, now), job->key, job->inputs});
+    }
+    return found;
+}
+
+// Targets fetch inputs at the start of a call; after that the inputs only take
+// up memory that other results need. They are released as soon as they must
+// have arrived, a call's time before the call ends.
+duration piece_batcher::fetch_time(const service_queue& queue,
+                                   const decision::planned_call& plan) const
+{
+    double bytes = 0;
+    for (const decision::piece_ref& ref : plan.pieces)
+        if (const auto* job = queue.planner.find(ref.job))
+            bytes += static_cast<double>(job->input_bytes);
+    const double bytes_per_ns =
+        std::max(queue.planner.shape().link_bytes_per_s, 1.0) / 1e9;
+    return min_fetch_time + duration(static_cast<duration::rep>(
+                                fetch_margin * bytes / bytes_per_ns));
+}
+
+awaitable<void> piece_batcher::report_fetched_inputs(
+    std::string service, decision::planned_call plan, duration after)
+{
+    loop_timer timer(m_context.loop, after);
+    error_code ignored; // No other code cancels this timer.
+    co_await timer.async_wait(into(ignored));
+    service_queue& queue = *m_queues.at(service);
+    for (const decision::piece_ref& ref : plan.pieces)
+    {
+        const auto accepted = queue.jobs.find(ref.job);
+        if (accepted == queue.jobs.end() ||
+            accepted->second.has_fetched_inputs ||
+            queue.planner.has_waiting_pieces(ref.job))
+            continue;
+        accepted->second.has_fetched_inputs = true;
+        accepted->second.fetched();
+    }
+}
+
+awaitable<void> piece_batcher::run_call(std::string service,
+                                        decision::planned_call plan)
+{
+    service_queue& queue = *m_queues.at(service);
+    const auto* target = m_context.directory.find(plan.target);
+    if (target == nullptr)
+    {
+        queue.planner.note_call_failed(plan, false, m_context.now());
+        handle_lost_call(queue, plan);
+        co_return;
+    }
+    const instant began = m_context.now();
+    const auto sent_call = std::make_shared<target_call>(
+        m_context.links, m_context.protocol,
+        call_destination{target->incarnation,
+                         runtime::address::parse(target->address)});
+    const http_request request = m_context.protocol.make_pieces(
+        plan.target.id, piece_orders(queue, plan));
+    const duration timeout =
+        plan.expected_time * timeout_factor + timeout_margin;
+    start(m_context.loop,
+          report_fetched_inputs(service, plan, fetch_time(queue, plan)));
+    auto state = co_await sent_call->send_request(request, {}, timeout);
+    while (state == target_call::outcome::ok && !sent_call->is_complete())
+        state = co_await sent_call->read_more(timeout);
+    const instant now = m_context.now();
+    const bool is_full =
+        state == target_call::outcome::ok && sent_call->facts().has_not_run;
+    constexpr unsigned ok = 200;
+    if (state == target_call::outcome::ok &&
+        sent_call->head().result_int() == ok)
+    {
+        queue.planner.note_call_answered(plan, now - began, now);
+        record_target_alive(m_context, plan.target, sent_call->opened_at());
+        try
+        {
+            handle_results(
+                queue, plan,
+                m_context.protocol.piece_results(sent_call->take_body()));
+        }
+        catch (const facts_error& fault)
+        {
+            runtime::event("call_unreadable")
+                .with("target", plan.target.id)
+                .with("fault", fault.what())
+                .warn();
+            handle_lost_call(queue, plan);
+        }
+        sent_call->release_connection();
+    }
+    else
+    {
+        const bool is_unsent = state == target_call::outcome::not_sent;
+        if (is_full || is_unsent)
+            queue.planner.note_call_failed(plan, is_full, now);
+        else
+            queue.planner.note_call_unanswered(plan, now);
+        m_context.count("calls_failed", "why", is_full ? "full" : "lost");
+        if (state == target_call::outcome::connection_lost)
+        {
+            note_target_ends(queue, plan, began);
+            queue.planner.note_suspected_crash(plan);
+        }
+        if (!is_full && !is_unsent)
+            runtime::event("call_lost")
+                .with("service", service)
+                .with("target", plan.target.id)
+                .with("pieces", plan.pieces.size())
+                .with("after_ms", whole_milliseconds(now - began))
+                .warn();
+        is_full ? requeue(queue, plan) : handle_lost_call(queue, plan);
+        is_full ? sent_call->release_connection() : sent_call->abort();
+    }
+    queue.pieces += plan.pieces.size();
+    ++queue.calls;
+    end_finished_jobs(service, queue);
+    end_unwanted_jobs(service, queue);
+    start_calls(service, queue);
+}
+
+void piece_batcher::release(const std::string& service,
+                            const std::vector<std::string>& handles)
+{
+    service_queue* queue = queue_of(service);
+    if (queue == nullptr)
+        return;
+    for (const std::string& handle : handles)
+        queue_release(*queue, handle);
+}
+
+awaitable<void> piece_batcher::send_releases(std::string service)
+{
+    service_queue& queue = *m_queues.at(service);
+    const auto batches = std::exchange(queue.pending_releases, {});
+    for (const auto& [address, handles] : batches)
+    {
+        decision::target_incarnation maker;
+        for (const auto* target : m_context.directory.serving(service))
+            if (target->address == address)
+                maker = target->incarnation;
+        if (maker.id.empty())
+            continue;
+        const auto sent_call = std::make_shared<target_call>(
+            m_context.links, m_context.protocol,
+            call_destination{maker, runtime::address::parse(address)});
+        auto state = co_await sent_call->send_request(
+            m_context.protocol.release_results(handles), {}, timeout_margin);
+        while (state == target_call::outcome::ok && !sent_call->is_complete())
+            state = co_await sent_call->read_more(timeout_margin);
+        if (state != target_call::outcome::ok)
+            m_context.count("releases", "how", "lost");
+        for (const std::string& handle : handles)
+            queue.planner.note_released(maker, handle);
+        sent_call->release_connection();
+    }
+}
+
+awaitable<void> piece_batcher::run()
+{
+    loop_timer timer(m_context.loop);
+    for (;;)
+    {
+        error_code ignored; // No other code cancels this timer.
+        timer.expires_after(tick);
+        co_await timer.async_wait(into(ignored));
+        for (const auto& [service, times] : wait_times())
+            note_wait_times(service, times);
+        for (auto& [service, queue] : m_queues)
+        {
+            if (!queue->jobs.empty())
+            {
+                end_unwanted_jobs(service, *queue);
+                start_calls(service, *queue);
+            }
+            if (!queue->pending_releases.empty())
+                start(m_context.loop, send_releases(service));
+        }
+        if (m_context.now() < m_summarized_at + summary_interval)
+            continue;
+        m_summarized_at = m_context.now();
+        for (auto& [service, queue] : m_queues)
+            summarize(service, *queue);
+    }
+}
+
+} // namespace mangofold::serving
--- /dev/null
+++ b/packages/serving/piece_batcher_results.cpp
@@ -0,0 +1,205 @@
+#include "runtime/event.hpp"
+#include "serving/piece_batcher.hpp"
+#include "serving/target_losses.hpp"
+
+namespace mangofold::serving
+{
+
+namespace
+{
+
+/// A job fails once this many calls with pieces of it were lost.
+constexpr std::uint32_t max_lost_calls = 3;
+
+} // namespace
+
+void piece_batcher::handle_results(service_queue& queue,
+                                   const decision::planned_call& plan,
+                                   const std::vector<piece_result>& results)
+{
+    const instant now = m_context.now();
+    if (results.size() != plan.pieces.size())
+    {
+        handle_lost_call(queue, plan);
+        return;
+    }
+    for (std::size_t index = 0; index < results.size(); ++index)
+    {
+        const decision::piece_ref& ref = plan.pieces[index];
+        switch (results[index].what)
+        {
+        case piece_result::kind::made:
+            queue.planner.note_piece_made(ref, plan.target,
+                                          results[index].handle, now);
+            if (queue.planner.find(ref.job) == nullptr)
+                queue_release(queue, results[index].handle);
+            break;
+        case piece_result::kind::no_room:
+            m_context.count("pieces_lost", "why", "room");
+            ++queue.memory_refusals;
+            queue.planner.note_memory_full(plan.target, now);
+            queue.planner.requeue_piece(ref);
+            break;
+        case piece_result::kind::failed:
+            m_context.count("pieces_lost", "why", "failed");
+            queue.planner.requeue_piece(ref);
+            break;
+        case piece_result::kind::late:
+            m_context.count("pieces_lost", "why", "late");
+            mark_failed(queue, ref, decision::job_status::expired);
+            break;
+        case piece_result::kind::gone:
+            m_context.count("pieces_lost", "why", "gone");
+            mark_failed(queue, ref, decision::job_status::input_lost);
+            break;
+        }
+    }
+}
+
+void piece_batcher::mark_failed(service_queue& queue,
+                                const decision::piece_ref& piece,
+                                decision::job_status status)
+{
+    const auto accepted = queue.jobs.find(piece.job);
+    if (accepted != queue.jobs.end())
+        accepted->second.failure = status;
+    queue.planner.requeue_piece(piece);
+}
+
+void piece_batcher::queue_release(service_queue& queue,
+                                  const std::string& handle)
+{
+    queue.pending_releases[m_context.protocol.maker_of(handle)].push_back(
+        handle);
+}
+
+// A full target ran nothing, so no call was lost. When such refusals counted as
+// lost calls, three of them within a call's time failed requests that had
+// seconds left.
+void piece_batcher::requeue(service_queue& queue,
+                            const decision::planned_call& plan)
+{
+    for (const decision::piece_ref& ref : plan.pieces)
+        queue.planner.requeue_piece(ref);
+}
+
+void piece_batcher::note_target_ends(const service_queue& queue,
+                                     const decision::planned_call& plan,
+                                     instant began)
+{
+    std::uint64_t last_job = 0;
+    for (const decision::piece_ref& ref : plan.pieces)
+    {
+        const decision::stage_job* job = queue.planner.find(ref.job);
+        if (job == nullptr || ref.job == std::exchange(last_job, ref.job))
+            continue;
+        record_target_end(
+            m_context,
+            {job->content, plan.target, began, m_context.now(), false},
+            job->request);
+    }
+}
+
+void piece_batcher::handle_lost_call(service_queue& queue,
+                                     const decision::planned_call& plan)
+{
+    std::uint64_t last_job = 0;
+    for (const decision::piece_ref& ref : plan.pieces)
+    {
+        queue.planner.requeue_piece(ref);
+        const auto accepted = queue.jobs.find(ref.job);
+        if (accepted == queue.jobs.end())
+            continue;
+        if (ref.job != last_job)
+            ++accepted->second.lost_calls;
+        if (accepted->second.has_fetched_inputs)
+            accepted->second.failure = decision::job_status::input_lost;
+        last_job = ref.job;
+    }
+}
+
+void piece_batcher::end_job(const std::string& service, service_queue& queue,
+                            std::uint64_t number, decision::job_status status,
+                            std::vector<std::string> handles, bool was_late)
+{
+    const auto accepted = queue.jobs.find(number);
+    if (accepted == queue.jobs.end())
+        return;
+    const outcome_callback done = std::move(accepted->second.done);
+    queue.jobs.erase(accepted);
+    std::vector<std::string> all_handles = handles;
+    const bool is_completed = status == decision::job_status::completed;
+    if (!is_completed)
+        handles.clear();
+    const bool is_taken = done({status, std::move(handles), was_late});
+    if (!is_completed || !is_taken)
+        release(service, all_handles);
+}
+
+void piece_batcher::end_finished_jobs(const std::string& service,
+                                      service_queue& queue)
+{
+    for (auto& done : queue.planner.take_finished())
+        end_job(service, queue, done.job.number,
+                decision::job_status::completed, std::move(done.handles),
+                done.job.is_late);
+}
+
+// Pieces that no request waits for, or that can't be done in time, only take
+// memory and time from others. Where all targets are evacuated, waiting jobs
+// fail at once instead of when they expire.
+void piece_batcher::end_unwanted_jobs(const std::string& service,
+                                      service_queue& queue)
+{
+    const bool is_evacuated = m_context.directory.is_evacuated(service);
+    std::vector<std::pair<std::uint64_t, decision::job_status>> ended;
+    for (const auto& [number, accepted] : queue.jobs)
+    {
+        if (!accepted.is_wanted())
+            ended.emplace_back(number, decision::job_status::expired);
+        else if (accepted.failure)
+            ended.emplace_back(number, *accepted.failure);
+        else if (accepted.lost_calls >= max_lost_calls ||
+                 (is_evacuated && !queue.planner.is_in_progress(number)))
+            ended.emplace_back(number, decision::job_status::failed);
+    }
+    for (const auto& [number, status] : ended)
+        if (auto job = queue.planner.take(number))
+            end_job(service, queue, number, status, std::move(job->handles));
+    for (auto& late : queue.planner.take_expired(m_context.now(), m_estimates))
+    {
+        ++queue.expired_jobs;
+        end_job(service, queue, late.job.number, decision::job_status::expired,
+                std::move(late.handles));
+    }
+}
+
+void piece_batcher::summarize(const std::string& service, service_queue& queue)
+{
+    if (queue.calls == 0 && queue.planner.waiting_jobs() == 0)
+        return;
+    const instant now = m_context.now();
+    runtime::event("service_gathered")
+        .with("service", service)
+        .with("calls", queue.calls)
+        .with("pieces", queue.pieces)
+        .with("waiting_jobs", queue.planner.waiting_jobs())
+        .with("waiting_pieces", queue.planner.waiting_pieces())
+        .with("wait_ms",
+              static_cast<std::uint64_t>(
+                  queue.planner.expected_wait(now).count() / 1000000))
+        .with("room_used", queue.planner.stored_bytes())
+        .with("no_room", queue.memory_refusals)
+        .with("late", queue.expired_jobs)
+        .info();
+    m_context.metrics.count({"calls", runtime::label("service", service)}) +=
+        queue.calls;
+    m_context.metrics.count({"pieces", runtime::label("service", service)}) +=
+        queue.pieces;
+    queue.calls = 0;
+    queue.pieces = 0;
+    queue.memory_refusals = 0;
+    queue.expired_jobs = 0;
+}
+
+} // namespace mangofold::serving
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "serving/entry_context.hpp"
-#include "serving/piece_maker.hpp"
+#include "serving/job_executor.hpp"
 
 #include <map>
 #include <memory>
@@ -11,86 +11,96 @@
 namespace mangofold::serving
 {
 
-/// Has the pieces of one request's stages made, each stage as soon as those
-/// that it follows are done. Whoever is done with it calls release(): at the
-/// end of a process, destructors run when nothing is left to release with.
+/// Executes the stages of one request, each stage as soon as the stages that it
+/// depends on are done. The owner calls release() when it no longer needs the
+/// results: the destructor can't, since at the end of the process the objects
+/// that send releases may be gone already.
 class stage_runner
 {
 public:
     stage_runner(entry_context& context, const catalog::route& route,
                  const request_facts& facts, const decision::digest& content,
-                 std::string zone, duration yields, instant due,
+                 std::string zone, duration priority_delay, instant due,
                  instant expires);
     stage_runner(const stage_runner&) = delete;
     stage_runner& operator=(const stage_runner&) = delete;
 
-    /// Makes all stages. Returns how it ended; made() holds the results.
+    /// Executes all stages. Returns how execution ended; results() then returns
+    /// the handles of the results.
     awaitable<decision::job_status> run();
 
-    /// Stops at once, from outside.
+    /// Makes run() return at once; called from outside of run().
     void abort();
 
-    /// Returns when each stage was done, in milliseconds after \a began.
-    std::string done_after(instant began) const;
+    /// Returns the times at which the stages were done, in milliseconds after
+    /// \a began, separated by spaces.
+    std::string completion_times(instant began) const;
 
-    /// Whether a stage was begun although the request would be late.
+    /// Whether a stage was started although the request would miss its
+    /// deadline.
     bool is_late() const { return m_is_late; }
 
-    /// Returns the results that the request itself needs.
+    /// Returns the handles of the results that the request itself reads: those
+    /// of stages without dependents.
     std::vector<std::string> results() const;
 
-    /// Returns the bytes of those results, by the zone of their makers.
-    std::map<std::string, std::uint64_t> bytes_by_zone() const;
+    /// Returns the size of those results, by the zone of the targets that hold
+    /// them.
+    std::map<std::string, std::uint64_t> result_bytes_by_zone() const;
 
-    /// Lets go of every result that is still held.
+    /// Releases all results that are still held.
     void release();
 
 private:
-    enum class step : std::uint8_t
+    enum class stage_status : std::uint8_t
     {
         waiting,
         running,
         done
     };
 
-    struct state
+    struct stage_state
     {
-        step now = step::waiting;
+        stage_status status = stage_status::waiting;
         std::uint32_t pieces = 0;
-        piece_wait_ptr wait;
+        pending_job_ptr pending;
         std::vector<std::string> handles;
-        bool is_used = false; ///< Its followers are done with the results.
+        /// Whether all dependents are done with the results.
+        bool is_used = false;
         instant done_at{};
     };
 
     bool can_start(std::size_t index) const;
-    bool has_begun() const;
-    bool is_followed(std::size_t index) const;
+    bool has_started() const;
+    bool has_dependents(std::size_t index) const;
     void start_stage(std::size_t index);
-    std::vector<std::string> inputs_of(std::size_t index) const;
-    std::string zone_of(const catalog::stage& stage) const;
-    /// Takes in what has ended. Returns how the first bad one ended.
-    std::optional<decision::job_status> take_ended();
-    bool is_fetched(std::size_t index) const;
-    void release_used();
+    std::vector<std::string> input_handles(std::size_t index) const;
+    std::string preferred_zone(const catalog::stage& stage) const;
+    /// Collects the outcomes of jobs that have ended. Returns the status of the
+    /// first job that did not complete.
+    std::optional<decision::job_status> collect_outcomes();
+    bool has_fetched_inputs(std::size_t index) const;
+    void release_consumed();
     bool is_done() const;
-    /// Returns the stages on the longest way from a stage to the end, itself
-    /// first.
-    std::vector<std::size_t> way_to_end(std::size_t index) const;
-    std::size_t longest_way_left() const;
+    /// Returns the stages on the longest path from a stage to the end, with
+    /// that stage first.
+    std::vector<std::size_t> longest_path_from(std::size_t index) const;
+    std::size_t longest_remaining_path() const;
 
     entry_context& m_context;
     const catalog::route& m_route;
     const request_facts& m_facts;
     decision::digest m_content;
-    std::string m_zone; ///< Where the request itself will probably run.
-    duration m_yields;
+    /// The zone in which the request itself will probably run.
+    std::string m_zone;
+    duration m_priority_delay;
     instant m_due;
     instant m_expires;
     std::shared_ptr<auto_reset_event> m_changed;
-    std::vector<state> m_states;
+    std::vector<stage_state> m_states;
     bool m_is_aborted = false;
-    bool m_is_late = false; ///< Its first stage was begun late.
+    /// Whether a job was already late when it was started.
+    bool m_is_late = false;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/target_losses.cpp
+++ b/packages/serving/target_losses.cpp
@@ -9,18 +9,18 @@
 namespace
 {
 
-/// Ends told at a time, 60 bytes each: 6 KB, behind which answers of callers
-/// wait on a link of 10 Mbit/s for 5 ms.
-constexpr std::size_t told_at_once = 100;
+/// Target ends sent in one message. At 60 bytes each they take 6 KB, which
+/// delays responses to callers on a link of 10 Mbit/s by 5 ms.
+constexpr std::size_t max_ends_per_message = 100;
 
-constexpr std::size_t worth_a_line = 2;
+constexpr std::size_t min_logged_ends = 2;
 
 void log_quarantined(const decision::digest& content,
                      const decision::crash_log::evidence& found)
 {
     std::string targets;
-    for (const decision::target_incarnation& one : found.targets)
-        targets += (targets.empty() ? "" : ",") + one.id;
+    for (const decision::target_incarnation& target : found.targets)
+        targets += (targets.empty() ? "" : ",") + target.id;
     runtime::event("content_quarantined")
         .with("content", to_text(content))
         .with("ends", found.incident_count())
@@ -29,30 +29,31 @@
         .warn();
 }
 
-/// Says in the log that \a one is known now, where it was seen here or speaks
-/// against a request of which more is known.
-void log_end(entry_context& context, const decision::target_crash& one,
-             std::size_t ends_before, const std::string& request,
-             const std::string& from)
+/// Logs \a target_end if this entry saw it itself, or if several ends are known
+/// for the same content.
+void log_target_end(entry_context& context,
+                    const decision::target_crash& target_end,
+                    std::size_t ends_before, const std::string& request,
+                    const std::string& from)
 {
-    if (one.is_claim)
+    if (target_end.is_claim)
         return;
     const auto found =
-        context.quarantine.crashes().evidence_against(one.content);
-    if (!request.empty() || found.incident_count() >= worth_a_line)
+        context.quarantine.crashes().evidence_against(target_end.content);
+    if (!request.empty() || found.incident_count() >= min_logged_ends)
         runtime::event("target_ended")
-            .with("target", one.target.id)
-            .with("born", one.target.started_ms)
-            .with("content", to_text(one.content))
+            .with("target", target_end.target.id)
+            .with("born", target_end.target.started_ms)
+            .with("content", to_text(target_end.content))
             .with("request", request)
             .with("from", from)
-            .with("refuted", one.is_refuted ? 1 : 0)
+            .with("refuted", target_end.is_refuted ? 1 : 0)
             .with("ends", found.incident_count())
             .warn();
     if (ends_before >= decision::quarantine::max_incidents ||
         found.incident_count() < decision::quarantine::max_incidents)
         return;
-    log_quarantined(one.content, found);
+    log_quarantined(target_end.content, found);
     ++context.metrics.count({"contents_quarantined", ""});
 }
 
@@ -66,35 +67,40 @@
 
 } // namespace
 
-void note_target_end(entry_context& context, const decision::target_crash& one,
-                     const std::string& request)
+void record_target_end(entry_context& context,
+                       const decision::target_crash& target_end,
+                       const std::string& request)
 {
-    if (context.directory.is_leaving(one.target))
+    if (context.directory.is_leaving(target_end.target))
         return;
-    decision::quarantine& known = context.quarantine;
-    const std::size_t before =
-        known.crashes().evidence_against(one.content).incident_count();
-    if (!known.note_crash(one, context.now()))
+    decision::quarantine& quarantine = context.quarantine;
+    const std::size_t ends_before = quarantine.crashes()
+                                        .evidence_against(target_end.content)
+                                        .incident_count();
+    if (!quarantine.note_crash(target_end, context.now()))
         return;
     ++context.metrics.count({"target_ends", ""});
-    log_end(context, one, before, request, "own");
+    log_target_end(context, target_end, ends_before, request, "own");
 }
 
-void note_served(entry_context& context, const decision::digest& content)
+void record_content_served(entry_context& context,
+                           const decision::digest& content)
 {
-    decision::quarantine& known = context.quarantine;
-    const std::size_t before =
-        known.crashes().evidence_against(content).incident_count();
-    count_refuted(context, known.note_served(content, context.now()), "served");
-    if (before >= worth_a_line)
+    decision::quarantine& quarantine = context.quarantine;
+    const std::size_t ends_before =
+        quarantine.crashes().evidence_against(content).incident_count();
+    count_refuted(context, quarantine.note_served(content, context.now()),
+                  "served");
+    if (ends_before >= min_logged_ends)
         runtime::event("content_served")
             .with("content", to_text(content))
-            .with("ends_before", before)
+            .with("ends_before", ends_before)
             .info();
 }
 
-void note_alive(entry_context& context,
-                const decision::target_incarnation& target, instant opened)
+void record_target_alive(entry_context& context,
+                         const decision::target_incarnation& target,
+                         instant opened)
 {
     decision::crash_log& ends = context.quarantine.crashes();
     if (!ends.is_empty())
@@ -102,29 +108,30 @@
                       "alive");
 }
 
-void take_ends(entry_context& context, const peer::TargetEnds& message,
-               const std::string& from)
+void handle_target_ends(entry_context& context, const peer::TargetEnds& message,
+                        const std::string& from)
 {
     decision::crash_log& ends = context.quarantine.crashes();
     for (const peer::TargetEnd& message_end : message.ends())
     {
-        const decision::target_crash one = end_of(message_end, context.now());
-        const std::size_t before =
-            ends.evidence_against(one.content).incident_count();
-        if (ends.note(one, context.now()))
-            log_end(context, one, before, {}, from);
+        const decision::target_crash target_end =
+            read_target_end(message_end, context.now());
+        const std::size_t ends_before =
+            ends.evidence_against(target_end.content).incident_count();
+        if (ends.note(target_end, context.now()))
+            log_target_end(context, target_end, ends_before, {}, from);
     }
 }
 
-bool end_news::write(peer::TargetEnds& message)
+bool target_end_sync::write(peer::TargetEnds& message)
 {
     const decision::crash_log& ends = m_context.quarantine.crashes();
-    if (m_theirs == ends.summary())
+    if (m_peer_summary == ends.summary())
         return false;
     const instant now = m_context.now();
-    for (const decision::target_crash& one :
-         ends.changes_after(m_told, told_at_once, now))
-        write_end(one, now, *message.add_ends());
+    for (const decision::target_crash& target_end :
+         ends.changes_after(m_sent, max_ends_per_message, now))
+        write_target_end(target_end, now, *message.add_ends());
     return message.ends_size() > 0;
 }
 
--- a/packages/serving/target_losses.hpp
+++ b/packages/serving/target_losses.hpp
@@ -8,42 +8,50 @@
 namespace mangofold::serving
 {
 
-/// Notes that a target ended while \a request was in progress there, unless
-/// that target was leaving, which is no fault of a request.
-void note_target_end(entry_context& context, const decision::target_crash& one,
-                     const std::string& request);
-
-/// Notes that a target ran \a content to its end.
-void note_served(entry_context& context, const decision::digest& content);
-
-/// Notes that bytes came from \a target on a connection made at \a opened.
-void note_alive(entry_context& context,
-                const decision::target_incarnation& target, instant opened);
-
-/// Takes in what the entry at \a from knows of ends of targets.
-void take_ends(entry_context& context, const peer::TargetEnds& message,
-               const std::string& from);
-
-/// What one entry tells another, on one connection, of the ends that it knows.
-class end_news
+/// Records a target end: that a target was lost while \a request was in
+/// progress there. Content with several ends is quarantined. The end of a
+/// leaving target is ignored, since no request causes it.
+void record_target_end(entry_context& context,
+                       const decision::target_crash& target_end,
+                       const std::string& request);
+
+/// Records that a target ran \a content to completion, which refutes ends
+/// that were attributed to the content.
+void record_content_served(entry_context& context,
+                           const decision::digest& content);
+
+/// Records that \a target sent bytes on a connection opened at \a opened,
+/// which refutes ends recorded for it since that time.
+void record_target_alive(entry_context& context,
+                         const decision::target_incarnation& target,
+                         instant opened);
+
+/// Applies the target ends that the entry at \a from has sent.
+void handle_target_ends(entry_context& context, const peer::TargetEnds& message,
+                        const std::string& from);
+
+/// Sends the target ends that this entry knows to one other entry, over one
+/// connection, without repeating any.
+class target_end_sync
 {
 public:
-    explicit end_news(entry_context& context) : m_context(context) {}
+    explicit target_end_sync(entry_context& context) : m_context(context) {}
 
-    /// Notes that a new connection was made, on which nothing was told yet.
-    void begin_anew() { m_theirs = m_told = 0; }
+    /// Starts over for a new connection, on which nothing was sent yet.
+    void reset() { m_peer_summary = m_sent = 0; }
 
-    /// Notes what the other entry knows, by crash_log::summary().
-    void note_theirs(std::uint64_t summary) { m_theirs = summary; }
+    /// Sets the other entry's target_ends::summary(), which shows whether it
+    /// knows the same ends.
+    void set_peer_summary(std::uint64_t summary) { m_peer_summary = summary; }
 
-    /// Writes what the other entry may lack and was not told on this
-    /// connection. Returns whether there was anything.
+    /// Writes the ends that the other entry may lack and that were not sent on
+    /// this connection. Returns whether there were any.
     bool write(peer::TargetEnds& message);
 
 private:
     entry_context& m_context;
-    std::uint64_t m_theirs = 0;
-    std::uint64_t m_told = 0;
+    std::uint64_t m_peer_summary = 0;
+    std::uint64_t m_sent = 0;
 };
 
 } // namespace mangofold::serving
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-struct quiet_listener : peer_listener
+struct recording_listener : peer_listener
 {
     peer::Holding holding() const override { return {}; }
-    peer::Want note_holding(const std::string&, const peer::Holding&) override
+    peer::Want handle_holding(const std::string&, const peer::Holding&) override
     {
         return {};
     }
@@ -24,24 +24,24 @@
     {
         return watch;
     }
-    void note_declined(const std::string&) override {}
-    void note_lost(const std::string&) override { ++losses; }
-    void take_catalog(const std::string&, const std::string& text) override
+    void note_copy_declined(const std::string&) override {}
+    void note_lost(const std::string&) override { ++lost_count; }
+    void handle_catalog(const std::string&, const std::string& text) override
     {
         catalogs.push_back(text);
     }
     void note_catalog_part(const std::string&) override { ++parts; }
-    void take_targets(const std::string&, const peer::Targets&) override {}
-    void take_back(std::vector<orphaned_job> jobs) override
+    void handle_targets(const std::string&, const peer::Targets&) override {}
+    void take_back_jobs(std::vector<routed_job> jobs) override
     {
-        taken_back += jobs.size();
+        jobs_taken_back += jobs.size();
     }
 
     decision::entry_roster::probe_schedule watch{1s, 10s};
     std::vector<std::string> catalogs;
     std::size_t parts = 0;
-    std::size_t losses = 0;
-    std::size_t taken_back = 0;
+    std::size_t lost_count = 0;
+    std::size_t jobs_taken_back = 0;
 };
 
 struct link_fixture : test::serving_fixture
@@ -54,42 +54,42 @@
         run_until([&] { return link->is_alive(); });
         decision::stage_job job;
         job.request = "r1";
-        wait = std::make_shared<piece_wait>(
+        pending = std::make_shared<pending_job>(
             std::make_shared<auto_reset_event>(loop));
-        link->ask("rerank", job, wait);
+        link->submit("rerank", job, pending);
         run_until([&] { return other.requested_jobs.size() == 1; });
     }
 
-    quiet_listener listener;
+    recording_listener listener;
     test::fake_entry other;
     std::shared_ptr<peer_link> link;
-    piece_wait_ptr wait;
+    pending_job_ptr pending;
 };
 
 } // namespace
 
-// Stages are late in the whole fleet after some connections were reset.
-// 1. The connection to the gatherer breaks. 2. Its work goes to the next
-// entry, and back to it a moment later. 3. Both send calls to the same
-// targets, and neither knows what room the other has taken.
-TEST_CASE("work stays with an entry whose connection was only reset")
+// Guards against late stages in the whole fleet after connections were reset.
+// If the jobs of the batching entry move to the next entry and back a moment
+// later, both entries send calls to the same targets, and neither knows how
+// much memory the other has reserved there.
+TEST_CASE("jobs stay with an entry whose connection was only reset")
 {
-    link_fixture one;
-    one.time.advance(600ms);
-    one.settle();
-    one.other.connection->close();
-    one.run_until([&] { return one.other.requested_jobs.size() == 2; });
-    CHECK(one.other.requested_jobs[1] == "r1");
-    CHECK(one.listener.losses == 0);
-    CHECK(one.listener.taken_back == 0);
-    CHECK(one.link->is_alive());
+    link_fixture fixture;
+    fixture.time.advance(600ms);
+    fixture.settle();
+    fixture.other.connection->close();
+    fixture.run_until([&] { return fixture.other.requested_jobs.size() == 2; });
+    CHECK(fixture.other.requested_jobs[1] == "r1");
+    CHECK(fixture.listener.lost_count == 0);
+    CHECK(fixture.listener.jobs_taken_back == 0);
+    CHECK(fixture.link->is_alive());
 }
 
 namespace
 {
 
-/// An entry that answers the first question, and then sends one byte of a
-/// long frame at a time.
+/// An entry that answers the first ping, and then sends one byte of a large
+/// frame at a time.
 struct slow_entry
 {
     explicit slow_entry(asio::io_context& loop)
@@ -102,7 +102,7 @@
     {
         error_code fault;
         co_await acceptor.async_accept(socket, into(fault));
-        // An empty pong: field 3 of two bytes, without a length of its own.
+        // An empty pong: field 3 of two bytes, with a length of zero.
         send(std::string("\0\0\0\2\x1a\0", 6));
         send(std::string("\0\1\0\0", 4));
     }
@@ -118,14 +118,14 @@
 
 } // namespace
 
-// Seen: the entry that gathers is lost and found by turns while a large
-// catalog is under way over a narrow link, and its work moves each time.
-// 1. It sends something long. 2. Bytes come all the time, but no whole frame.
-// 3. Only whole frames counted as a sign of life.
-TEST_CASE("an entry whose bytes still come is not silent")
+// Guards against a batching entry that is lost and found in turns, with its
+// jobs moving each time, while it sends a large catalog over a narrow link.
+// Bytes arrive all the time but no whole frame, and only whole frames used to
+// count as an answer.
+TEST_CASE("an entry that still sends bytes counts as alive")
 {
     test::serving_fixture entry;
-    quiet_listener listener;
+    recording_listener listener;
     listener.watch = {100ms, 500ms};
     slow_entry other(entry.loop);
     const auto link = std::make_shared<peer_link>(
@@ -140,7 +140,7 @@
         entry.time.advance(100ms);
         entry.settle();
     }
-    CHECK(listener.losses == 0);
+    CHECK(listener.lost_count == 0);
     entry.time.advance(100ms);
     for (int step = 0; step < 6; ++step)
     {
@@ -148,36 +148,36 @@
         entry.time.advance(100ms);
     }
     entry.settle();
-    CHECK(listener.losses == 1);
+    CHECK(listener.lost_count == 1);
 }
 
-TEST_CASE("the work of an entry that is gone is taken back at once")
+TEST_CASE("jobs of an unreachable entry are taken back at once")
 {
-    link_fixture one;
-    one.time.advance(600ms);
-    one.settle();
-    one.other.acceptor.close();
-    one.other.connection->close();
-    one.run_until([&] { return one.listener.taken_back == 1; });
-    CHECK(one.listener.losses == 1);
-    CHECK_FALSE(one.link->is_alive());
+    link_fixture fixture;
+    fixture.time.advance(600ms);
+    fixture.settle();
+    fixture.other.acceptor.close();
+    fixture.other.connection->close();
+    fixture.run_until([&] { return fixture.listener.jobs_taken_back == 1; });
+    CHECK(fixture.listener.lost_count == 1);
+    CHECK_FALSE(fixture.link->is_alive());
 }
 
 namespace
 {
 
-/// A place that answers nothing to those who connect, as an instance without
-/// power does, since its queue of connections is full; until it wakes.
-struct silent_place
+/// An instance without power: its queue of connections is full, so that it does
+/// not answer attempts to connect until power_up().
+struct unpowered_instance
 {
-    explicit silent_place(asio::io_context& its_loop)
-        : loop(its_loop), acceptor(its_loop)
+    explicit unpowered_instance(asio::io_context& fixture_loop)
+        : loop(fixture_loop), acceptor(fixture_loop)
     {
         acceptor.open(tcp::v4());
         acceptor.bind({asio::ip::address_v4::loopback(), 0});
         acceptor.listen(0);
-        constexpr int more_than_queued = 4;
-        for (int one = 0; one < more_than_queued; ++one)
+        constexpr int filler_count = 4;
+        for (int index = 0; index < filler_count; ++index)
         {
             fillers.push_back(std::make_unique<tcp::socket>(loop));
             fillers.back()->async_connect(acceptor.local_endpoint(),
@@ -190,7 +190,7 @@
         return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
     }
 
-    void wake()
+    void power_up()
     {
         fillers.clear();
         start(loop, test::accept_all(loop, acceptor,
@@ -202,41 +202,41 @@
     {
         const auto frames = std::make_shared<frame_socket>(std::move(socket));
         while (co_await frames->read())
-            is_found = true;
+            is_connected = true;
     }
 
     asio::io_context& loop;
     tcp::acceptor acceptor;
     std::vector<std::unique_ptr<tcp::socket>> fillers;
-    bool is_found = false;
+    bool is_connected = false;
 };
 
 } // namespace
 
-// Callers of a fleet that starts at once wait half a second more.
-// 1. An entry connects to one that has no power yet; nothing comes back. 2. The
-// other one is up a moment later. 3. The first try hung on for half a second;
-// the system's own repetition comes after a second.
-TEST_CASE("a first try to connect is given up soon and made again")
+// Guards against callers waiting half a second longer when a fleet starts at
+// once. An entry connects to an instance that has no power yet and gets no
+// answer; the instance is up a moment later. The first attempt used to last
+// half a second, and the kernel repeats its own only after a second.
+TEST_CASE("the first attempt to connect is aborted early and repeated")
 {
     test::serving_fixture entry;
-    quiet_listener listener;
-    silent_place other(entry.loop);
+    recording_listener listener;
+    unpowered_instance other(entry.loop);
     entry.settle();
     const auto link =
         std::make_shared<peer_link>(*entry.context, listener, other.address());
     start(entry.loop, link->run());
     entry.settle();
-    other.wake();
+    other.power_up();
     entry.settle();
-    for (const duration gone : {110ms, 30ms})
+    for (const duration elapsed : {110ms, 30ms})
     {
-        entry.time.advance(gone);
+        entry.time.advance(elapsed);
         entry.settle();
     }
-    constexpr int before_repetition = 400; // Steps of a millisecond.
-    for (int step = 0; step < before_repetition && !other.is_found; ++step)
+    constexpr int max_steps = 400; // Of 1 ms; the kernel repeats later.
+    for (int step = 0; step < max_steps && !other.is_connected; ++step)
         entry.loop.run_for(1ms);
-    CHECK(other.is_found);
+    CHECK(other.is_connected);
     link->close();
 }
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -15,41 +15,42 @@
 namespace
 {
 
-/// An entry with version 1 among others that hold version 9.
-struct behind_fixture : test::serving_fixture
+/// An entry with version 1 of the catalog among others that hold version 9.
+struct outdated_entry : test::serving_fixture
 {
-    behind_fixture()
-        : source(*context, speaks), mesh(*context, source, *gathering)
+    outdated_entry()
+        : source(*context, source_speech), mesh(*context, source, *gathering)
     {
         context->settings.max_configuration_delay = 3s;
-        for (auto& one : others)
+        for (auto& other : others)
         {
-            one = std::make_unique<test::fake_entry>(loop);
-            one->holding.set_catalog_version(9);
-            one->holding.set_cores(1); // It may gather, and is asked often.
-            mesh.add(one->address());
+            other = std::make_unique<test::fake_entry>(loop);
+            other->holding.set_catalog_version(9);
+            // It may be elected, and is pinged often.
+            other->holding.set_cores(1);
+            mesh.add(other->address());
         }
         start(loop, mesh.run());
     }
 
-    void pass(duration most)
+    void advance(duration total)
     {
         constexpr duration step = 50ms;
-        for (duration gone{}; gone < most; gone += step)
+        for (duration elapsed{}; elapsed < total; elapsed += step)
         {
             time.advance(step);
             settle();
         }
     }
 
-    std::size_t asked() const
+    std::size_t catalogs_requested() const
     {
         return std::accumulate(others.begin(), others.end(), std::size_t{0},
-                               [](std::size_t sum, const auto& one)
-                               { return sum + one->catalog_requests; });
+                               [](std::size_t sum, const auto& other)
+                               { return sum + other->catalog_requests; });
     }
 
-    test::stub_source speaks;
+    test::stub_source source_speech;
     source_reader source;
     peer_mesh mesh;
     std::array<std::unique_ptr<test::fake_entry>, 4> others;
@@ -57,44 +58,46 @@
 
 } // namespace
 
-// Seen: a route that was published 3.3 s before is not found at entries with
-// a narrow link; all that they do is late for many seconds.
-// 1. A large catalog is published. 2. Such an entry hears of it from all the
-// others and asks one of them; the copy takes longer than a quarter of a
-// second. 3. It asked the next one then, and so on: each copy slowed all the
-// others, until the link carried little else. Proved by the links' figures
-// (full for 17 s, the processor idle).
-TEST_CASE("an entry that is behind does not ask for copy after copy")
+// Guards against a newly published route that entries behind a narrow link
+// still don't know 3.3 s later, with all of their requests late for many
+// seconds. Such an entry hears of the large catalog from all other entries and
+// requests a copy from one of them; the copy takes longer than a quarter of a
+// second. It used to request another copy from the next entry then, and so on.
+// Each copy slowed down the others until the link carried little else: the link
+// was full for 17 s with an idle processor.
+TEST_CASE("an entry with an old catalog does not request copy after copy")
 {
-    behind_fixture entry;
-    entry.pass(4s);
-    CHECK(entry.asked() >= 1);
-    CHECK(entry.asked() <= 4);
+    outdated_entry entry;
+    entry.advance(4s);
+    CHECK(entry.catalogs_requested() >= 1);
+    CHECK(entry.catalogs_requested() <= 4);
 }
 
-// The same with a holder that is gone: the next one must be asked.
-TEST_CASE("an entry that is behind asks another holder after a while")
+// The same with a holder that is gone: the entry must request the catalog from
+// the next one.
+TEST_CASE("an entry with an old catalog requests it from another holder later")
 {
-    behind_fixture entry;
-    entry.pass(4s);
-    CHECK(entry.asked() >= 2);
+    outdated_entry entry;
+    entry.advance(4s);
+    CHECK(entry.catalogs_requested() >= 2);
 }
 
-// An entry that reads less strictly passes on what it took for a target.
-TEST_CASE("what another entry tells of a target is looked at too")
+// Guards against an invalid target address that is passed on by an entry with
+// less strict validation.
+TEST_CASE("targets received from another entry are validated")
 {
     decision::target_directory directory;
-    peer::Targets told;
+    peer::Targets received;
     for (const char* address : {"nowhere", "", "10.0.0.1:80"})
     {
-        peer::Target& one = *told.add_targets();
-        one.set_id(std::string("t-") + address);
-        one.set_service("plain");
-        one.set_address(address);
-        one.set_born(5);
-        one.set_revision(1);
+        peer::Target& target = *received.add_targets();
+        target.set_id(std::string("t-") + address);
+        target.set_service("plain");
+        target.set_address(address);
+        target.set_born(5);
+        target.set_revision(1);
     }
-    take_targets(told, directory);
+    apply_targets(received, directory);
     REQUIRE(directory.serving("plain").size() == 1);
     CHECK(directory.serving("plain")[0]->incarnation ==
           decision::target_incarnation("t-10.0.0.1:80", 5));
--- a/tests/serving/peer_server_test.cpp
+++ b/tests/serving/peer_server_test.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-/// An entry with a catalog that no kernel takes whole, and others that ask
-/// for it.
-struct giving_entry : test::serving_fixture
+/// An entry with a catalog too large for the kernel's socket buffers, and other
+/// entries that request it.
+struct copy_source : test::serving_fixture
 {
-    giving_entry() : text(std::make_shared<const std::string>(64U << 20U, 'x'))
+    copy_source() : text(std::make_shared<const std::string>(64U << 20U, 'x'))
     {
         context->settings.peer_address = {"127.0.0.1", free_port()};
         server.emplace(
@@ -33,7 +33,7 @@
         return acceptor.local_endpoint().port();
     }
 
-    /// Returns a connection of another entry, ...
+    /// Opens a connection as another entry does.
     frame_socket_ptr connect()
     {
         tcp::socket socket(loop);
@@ -42,8 +42,8 @@
         return std::make_shared<frame_socket>(std::move(socket));
     }
 
-    /// ... on which it asks for the catalog.
-    void ask(frame_socket& other)
+    /// Requests the catalog on the connection \a other.
+    void request_catalog(frame_socket& other)
     {
         peer::Frame frame;
         frame.mutable_want()->set_catalog(true);
@@ -51,19 +51,19 @@
         other.send(frame);
     }
 
-    /// Returns the first frame that comes to \a other.
+    /// Returns the first frame that is received on \a other.
     peer::Frame first_frame(const frame_socket_ptr& other)
     {
-        std::optional<peer::Frame> came;
-        start(loop, read(other, came));
-        run_until([&] { return came.has_value(); });
-        return *came;
+        std::optional<peer::Frame> received;
+        start(loop, read(other, received));
+        run_until([&] { return received.has_value(); });
+        return *received;
     }
 
     static awaitable<void> read(frame_socket_ptr other,
-                                std::optional<peer::Frame>& came)
+                                std::optional<peer::Frame>& received)
     {
-        came = co_await other->read();
+        received = co_await other->read();
     }
 
     std::shared_ptr<const std::string> text;
@@ -72,23 +72,24 @@
 
 } // namespace
 
-// Callers of an entry wait for seconds, with its processor idle.
-// 1. All entries start at once. 2. Most ask the first one that holds the list
-// or the configuration. 3. It gave them all a copy at once; its link was full.
-TEST_CASE("an entry gives two copies at a time and sends others elsewhere")
+// Guards against callers that wait for seconds while the processor of their
+// entry is idle. When all entries start at once, most of them request a copy
+// from the first one that holds the target list or the configuration. It used
+// to send all copies at once, which filled its link.
+TEST_CASE("an entry sends two copies at a time and declines other requests")
 {
-    giving_entry entry;
+    copy_source entry;
     const auto first = entry.connect();
     const auto second = entry.connect();
     const auto third = entry.connect();
-    entry.ask(*first);
+    entry.request_catalog(*first);
     CHECK(entry.first_frame(first).has_catalog_part());
-    entry.ask(*second);
+    entry.request_catalog(*second);
     CHECK(entry.first_frame(second).has_catalog_part());
-    entry.ask(*third);
+    entry.request_catalog(*third);
     CHECK(entry.first_frame(third).has_declined());
     first->close();
     entry.settle();
-    entry.ask(*third);
+    entry.request_catalog(*third);
     CHECK(entry.first_frame(third).has_catalog_part());
 }
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -146,8 +146,8 @@
     evacuate(other, {"a"}, 5);
     peer::Holding message;
     serving::write_zones(other.context->evacuations.snapshot(), message);
-    serving::apply_zone_evacuations(*entry.context, serving::zones_of(message),
-                                    "e");
+    serving::apply_zone_evacuations(*entry.context,
+                                    serving::read_zones(message), "e");
     CHECK(entry.context->evacuations == other.context->evacuations);
     auto& target = entry.add_target("plain", complete_response, "a");
     entry.ask(request("/once/", "r1"), "evacuated");
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -54,9 +54,9 @@
     ("a hangup has no handler", "packages/serving/settings_reloader.cpp",
      "m_hangup(context.loop, SIGHUP)", "m_hangup(context.loop)", ["hangup"]),
     ("a stage gets one of its inputs only", "packages/serving/stage_runner.cpp",
-     "        const auto& handles = m_states.at(one).handles;\n"
+     "        const auto& handles = m_states.at(input).handles;\n"
      "        inputs.insert(inputs.end(), handles.begin(), handles.end());",
-     "        inputs.push_back(m_states.at(one).handles.front());",
+     "        inputs.push_back(m_states.at(input).handles.front());",
      ["publish"]),
     ("a bad entry leaves the good one before it in use",
      "packages/serving/source_reader_changes.cpp",
@@ -67,13 +67,13 @@
      "    m_has_left = true;", "    return;", ["target_mode"]),
     ("every word of a newer catalog asks for a copy",
      "packages/serving/peer_mesh.cpp",
-     "    if (!lacking.should_request(address, m_source.source_state(),\n"
-     "                                m_context.now()))\n"
+     "    if (!catch_up.should_request(address, m_source.source_state(),\n"
+     "                                 m_context.now()))\n"
      "        return false;\n"
      "    if (!before.empty() && before != address)\n"
-     "        drop_copy(before);\n",
+     "        cancel_copy(before);\n",
      "    if (address.empty())\n        return false;\n"
-     "    m_lacks_targets.note_lost(before);\n",
+     "    m_target_catch_up.note_unavailable(before);\n",
      ["grow"], NARROW),
     ("a request that ends its targets is never kept from them",
      "packages/decision/quarantine.cpp",
@@ -81,7 +81,7 @@
      ["poison"], ["--entries", "6"]),
     ("entries keep what they know of ends to themselves",
      "packages/serving/target_losses.cpp",
-     "if (m_theirs == ends.summary())", "if (ends.size() > 0)",
+     "if (m_peer_summary == ends.summary())", "if (ends.size() > 0)",
      ["poison"], ["--entries", "6"]),
     ("what was served lately is blamed all the same",
      "packages/decision/quarantine.cpp",
