--- a/packages/serving/asio.cpp
+++ b/packages/serving/asio.cpp
@@ -11,9 +11,9 @@
     {
         std::rethrow_exception(fault);
     }
-    catch (const std::exception& what)
+    catch (const std::exception& exception)
     {
-        runtime::event("work_failed").with("fault", what.what()).error();
+        runtime::event("work_failed").with("fault", exception.what()).error();
     }
 }
 
--- a/packages/serving/asio.hpp
+++ b/packages/serving/asio.hpp
@@ -27,16 +27,18 @@
 using decision::duration;
 using decision::instant;
 
-/// Returns a completion token that stores an error instead of throwing it.
+/// Returns a completion token that stores an error in \a fault instead of
+/// throwing it.
 inline auto into(error_code& fault)
 {
     return asio::redirect_error(asio::use_awaitable, fault);
 }
 
-/// Logs the end of work that was started on its own and failed.
+/// Logs the exception that ended a detached coroutine.
 void note_failed(const std::exception_ptr& fault);
 
-/// Starts \a work on its own.
+/// Starts \a work as a detached coroutine and logs the exception that ends
+/// it, if any.
 template<typename Awaitable>
 void start(asio::io_context& loop, Awaitable&& work)
 {
@@ -48,10 +50,10 @@
                    });
 }
 
-/// Returns the time from \a now until \a then, never negative.
-inline duration until(instant then, instant now)
+/// Returns the time left from \a now until \a deadline, never negative.
+inline duration until(instant deadline, instant now)
 {
-    return std::max(then - now, duration::zero());
+    return std::max(deadline - now, duration::zero());
 }
 
 /// Returns \a time in whole milliseconds, for logs.
--- a/packages/serving/caller_session.cpp
+++ b/packages/serving/caller_session.cpp
@@ -10,19 +10,21 @@
 namespace
 {
 
-/// How long a caller may take to read what is sent to it before it counts as
-/// gone; a network that lost it would hold the memory for minutes.
-constexpr duration write_time = std::chrono::seconds(10);
+/// How long one write may take before the caller counts as disconnected. A
+/// connection that the network lost would otherwise hold its memory for
+/// minutes.
+constexpr duration write_timeout = std::chrono::seconds(10);
 
-/// What is kept of bytes that come ahead of being used, beyond one header.
-constexpr std::size_t read_ahead = 65536;
+/// How many received bytes may wait to be parsed, beyond one header.
+constexpr std::size_t max_read_ahead = 65536;
 
-/// How long a caller that closed its side may still want its answer. Some
-/// close it as soon as their request is sent.
-constexpr duration half_closed_time = std::chrono::milliseconds(300);
+/// Grace period for the response after the caller closed its sending side.
+/// Some callers close it as soon as their request is sent.
+constexpr duration half_closed_grace = std::chrono::milliseconds(300);
 
-/// Work for a caller who has really gone must end this long after its close.
-constexpr duration left_time = std::chrono::milliseconds(500);
+/// Work for a caller that has disconnected must end within this time after
+/// the caller's close.
+constexpr duration disconnect_bound = std::chrono::milliseconds(500);
 
 unsigned status_of(const error_code& fault)
 {
@@ -31,56 +33,59 @@
     return fault == http::error::body_limit ? 413 : 400;
 }
 
-// A request is refused where two parties could disagree about its end, since
-// the rest would then be taken for another request.
+// Rejects a request whose end two HTTP implementations could determine
+// differently: the bytes after the end would be taken for another request
+// (request smuggling).
 bool is_ambiguous(const http::request_header<>& head)
 {
     if (head.count(http::field::host) != 1 ||
         head.count(http::field::content_length) > 1 ||
         head.count(http::field::transfer_encoding) > 1)
         return true;
-    const auto coding = head.find(http::field::transfer_encoding);
-    return coding != head.end() && (lower(view(coding->value())) != "chunked" ||
-                                    head.count(http::field::content_length));
+    const auto encoding = head.find(http::field::transfer_encoding);
+    return encoding != head.end() &&
+           (lower(view(encoding->value())) != "chunked" ||
+            head.count(http::field::content_length));
 }
 
 } // namespace
 
 caller_session::caller_session(asio::io_context& loop, tcp::socket socket,
                                request_handler& handler)
-    : m_loop(loop), m_socket(std::move(socket)), m_guard(loop),
-      m_handler(handler), m_more(loop), m_space(loop)
+    : m_loop(loop), m_socket(std::move(socket)), m_write_timer(loop),
+      m_handler(handler), m_data_received(loop), m_space_available(loop)
 {
 }
 
 awaitable<void> caller_session::run()
 {
-    const auto keep = shared_from_this();
-    error_code ignored; // Without it small writes only wait longer.
+    const auto self = shared_from_this();
+    error_code ignored; // Without the option small writes only wait longer.
     m_socket.set_option(tcp::no_delay(true), ignored);
-    start(m_loop, read_all());
-    while (!m_is_last)
+    start(m_loop, receive());
+    while (!m_closes_after_response)
     {
-        // In a condition beside another operand, g++ 12 asks that operand
-        // once more after the wait.
-        const bool is_read = co_await read_request();
-        if (!is_read)
+        // In a condition with another operand, g++ 12 evaluates that operand
+        // again after the co_await.
+        const bool has_request = co_await read_request();
+        if (!has_request)
             break;
-        m_is_busy = true;
-        co_await m_handler.answer(keep, std::move(m_request));
-        m_is_busy = false;
-        m_on_left = nullptr;
-        m_on_ending = nullptr;
-        m_is_last = m_is_last || m_handler.is_stopping();
+        m_is_handling = true;
+        co_await m_handler.answer(self, std::move(m_request));
+        m_is_handling = false;
+        m_on_disconnect = nullptr;
+        m_on_shutdown = nullptr;
+        m_closes_after_response =
+            m_closes_after_response || m_handler.is_stopping();
     }
     m_socket.shutdown(tcp::socket::shutdown_send, ignored);
     m_socket.close(ignored);
-    m_space.raise();
+    m_space_available.raise();
 }
 
-awaitable<void> caller_session::read_all()
+awaitable<void> caller_session::receive()
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     for (;;)
     {
         error_code fault;
@@ -88,70 +93,71 @@
             asio::buffer(m_chunk), into(fault));
         if (fault)
         {
-            co_await leave(fault == asio::error::eof);
+            co_await handle_read_end(fault == asio::error::eof);
             co_return;
         }
         m_received.append(m_chunk.data(), count);
-        m_more.raise();
-        while (m_received.size() > read_ahead && m_socket.is_open())
-            co_await m_space.wait(std::chrono::seconds(1));
+        m_data_received.raise();
+        while (m_received.size() > max_read_ahead && m_socket.is_open())
+            co_await m_space_available.wait(std::chrono::seconds(1));
     }
 }
 
-awaitable<void> caller_session::leave(bool is_orderly)
+awaitable<void> caller_session::handle_read_end(bool is_orderly)
 {
-    m_is_ended = true;
-    m_more.raise();
-    // A close that may have come long ago was read late: the caller's time is
-    // over already.
-    const duration unseen = m_handler.lateness();
-    const bool may_want_answer =
-        is_orderly && (m_is_busy || !m_received.empty());
-    if (may_want_answer && unseen < left_time)
+    m_is_read_closed = true;
+    m_data_received.raise();
+    // If the event loop is behind, the close may have arrived that long ago,
+    // which shortens the grace period.
+    const duration lag = m_handler.lateness();
+    const bool may_expect_response =
+        is_orderly && (m_is_handling || !m_received.empty());
+    if (may_expect_response && lag < disconnect_bound)
     {
         loop_timer timer(m_loop,
-                         std::min(half_closed_time, left_time - unseen));
-        error_code ignored; // Nobody cancels it.
+                         std::min(half_closed_grace, disconnect_bound - lag));
+        error_code ignored; // The timer is never cancelled.
         co_await timer.async_wait(into(ignored));
     }
-    note_left();
+    note_disconnect();
 }
 
-void caller_session::note_left()
+void caller_session::note_disconnect()
 {
-    m_has_left = true;
-    m_more.raise();
-    if (m_on_left)
-        std::exchange(m_on_left, nullptr)();
+    m_has_disconnected = true;
+    m_data_received.raise();
+    if (m_on_disconnect)
+        std::exchange(m_on_disconnect, nullptr)();
 }
 
-// A process that was stopped or is behind finds a request and the close after
-// it at the same time, and comes to the request first. Sent on, it would keep
-// a target busy for a caller who left long ago.
+// A process that was suspended or is behind finds a request and the close
+// after it at the same time, and handles the request first. Forwarded, that
+// request would keep a target busy for a caller that disconnected long ago.
 bool caller_session::has_left_unseen()
 {
-    if (m_has_left || m_handler.lateness() < left_time)
-        return m_has_left;
+    if (m_has_disconnected || m_handler.lateness() < disconnect_bound)
+        return m_has_disconnected;
     error_code fault;
     m_socket.non_blocking(true, fault);
-    char one = 0;
+    char byte = 0;
     const std::size_t count = m_socket.receive(
-        asio::buffer(&one, 1), tcp::socket::message_peek, fault);
-    const bool is_waiting =
+        asio::buffer(&byte, 1), tcp::socket::message_peek, fault);
+    const bool has_no_data =
         fault == asio::error::would_block || fault == asio::error::try_again;
-    if (!is_waiting && count == 0)
-        note_left();
-    return m_has_left;
+    if (!has_no_data && count == 0)
+        note_disconnect();
+    return m_has_disconnected;
 }
 
-unsigned caller_session::parse(parser& reading)
+unsigned caller_session::parse(request_parser& parser)
 {
-    while (!m_received.empty() && !reading.is_done())
+    while (!m_received.empty() && !parser.is_done())
     {
         error_code fault;
-        const std::size_t used = reading.put(asio::buffer(m_received), fault);
-        m_received.erase(0, used);
-        m_space.raise();
+        const std::size_t consumed =
+            parser.put(asio::buffer(m_received), fault);
+        m_received.erase(0, consumed);
+        m_space_available.raise();
         if (fault == http::error::need_more)
             return 0;
         if (fault)
@@ -161,14 +167,14 @@
                 .info();
             return status_of(fault);
         }
-        if (reading.is_header_done() && is_ambiguous(reading.get()))
+        if (parser.is_header_done() && is_ambiguous(parser.get()))
         {
             runtime::event("request_malformed")
-                .with("fault", "two readings of its end or host")
+                .with("fault", "ambiguous message length or host")
                 .info();
             return 400;
         }
-        if (used == 0)
+        if (consumed == 0)
             return 0;
     }
     return 0;
@@ -177,45 +183,46 @@
 awaitable<bool> caller_session::read_request()
 {
     const catalog::caller_limits limits = m_handler.limits();
-    parser reading;
-    reading.eager(true);
-    reading.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
-    reading.body_limit(limits.body_bytes);
-    bool is_continued = false;
+    request_parser parser;
+    parser.eager(true);
+    parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
+    parser.body_limit(limits.body_bytes);
+    bool has_sent_continue = false;
     for (;;)
     {
-        const bool is_begun = reading.got_some() || !m_received.empty();
-        if (const unsigned status = parse(reading))
+        const bool has_started = parser.got_some() || !m_received.empty();
+        if (const unsigned status = parse(parser))
         {
             co_await reject(status);
             co_return false;
         }
-        if (reading.is_done())
+        if (parser.is_done())
             break;
-        if (m_is_ended)
+        if (m_is_read_closed)
             co_return false;
-        const bool expects = reading.is_header_done() && !is_continued &&
-                             reading.get().count(http::field::expect) > 0;
-        if (expects)
+        const bool expects_continue =
+            parser.is_header_done() && !has_sent_continue &&
+            parser.get().count(http::field::expect) > 0;
+        if (expects_continue)
         {
-            is_continued = true;
+            has_sent_continue = true;
             co_await send("HTTP/1.1 100 Continue\r\n\r\n");
         }
-        const duration most = is_begun && !reading.is_header_done()
-                                  ? limits.header_time
-                                  : limits.idle_time;
-        const bool is_more = co_await m_more.wait(most);
-        if (m_is_last && !is_begun)
+        const duration timeout = has_started && !parser.is_header_done()
+                                     ? limits.header_time
+                                     : limits.idle_time;
+        const bool has_new_data = co_await m_data_received.wait(timeout);
+        if (m_closes_after_response && !has_started)
             co_return false;
-        if (is_more || m_is_ended)
+        if (has_new_data || m_is_read_closed)
             continue;
-        if (is_begun)
+        if (has_started)
             co_await reject(408);
         co_return false;
     }
-    m_request = reading.release();
+    m_request = parser.release();
     if (!m_request.keep_alive())
-        m_is_last = true;
+        m_closes_after_response = true;
     co_return true;
 }
 
@@ -229,8 +236,8 @@
 {
     if (!m_socket.is_open())
         co_return false;
-    m_guard.expires_after(write_time);
-    m_guard.async_wait(
+    m_write_timer.expires_after(write_timeout);
+    m_write_timer.async_wait(
         [weak = weak_from_this()](const error_code& fault)
         {
             const auto self = weak.lock();
@@ -239,7 +246,7 @@
         });
     error_code fault;
     co_await asio::async_write(m_socket, asio::buffer(bytes), into(fault));
-    m_guard.cancel();
+    m_write_timer.cancel();
     co_return !fault;
 }
 
@@ -260,16 +267,16 @@
     error_code ignored; // Closing a dead socket may fail; it is gone anyway.
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
     m_socket.close(ignored);
-    m_is_last = true;
-    m_more.raise();
+    m_closes_after_response = true;
+    m_data_received.raise();
 }
 
 void caller_session::close_if_idle()
 {
-    if (m_is_busy || !m_received.empty())
+    if (m_is_handling || !m_received.empty())
         return;
-    m_is_last = true;
-    m_more.raise();
+    m_closes_after_response = true;
+    m_data_received.raise();
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/caller_session.hpp
+++ b/packages/serving/caller_session.hpp
@@ -14,108 +14,123 @@
 
 class caller_session;
 
-/// Answers the requests of callers.
+/// Handles the HTTP requests that caller sessions read.
 class request_handler
 {
 public:
     virtual ~request_handler() = default;
 
-    /// Answers \a request on \a session.
+    /// Handles \a request and sends the response on \a session.
     virtual awaitable<void> answer(std::shared_ptr<caller_session> session,
                                    http_request request) = 0;
 
-    /// Returns the bounds on callers now in force.
+    /// Returns the current limits on callers' requests and connections.
     virtual catalog::caller_limits limits() const = 0;
 
-    /// Whether the process is about to end: answers then close.
+    /// Whether the process is shutting down: responses then close their
+    /// connections.
     virtual bool is_stopping() const = 0;
 
-    /// Returns how long what is found now may have waited unseen.
+    /// Returns how far the event loop is behind: an event that is handled now
+    /// may have been pending for this long.
     virtual duration lateness() const = 0;
 };
 
-/// One connection of a caller: reads its requests one after the other, and
-/// notices when the caller leaves.
+/// One client connection: reads its HTTP requests one after the other, passes
+/// each to the request handler, and detects that the caller disconnects while
+/// a request is being handled.
 class caller_session : public std::enable_shared_from_this<caller_session>
 {
 public:
     caller_session(asio::io_context& loop, tcp::socket socket,
                    request_handler& handler);
 
+    /// Serves the connection until it closes.
     awaitable<void> run();
 
-    /// Sends \a bytes. Returns whether the caller still takes them.
+    /// Sends \a bytes. Returns whether the write succeeded.
     awaitable<bool> send(std::string bytes);
 
-    /// Sends a whole answer. Length and connection headers are added.
+    /// Sends a complete response. Adds Content-Length, and "Connection: close"
+    /// if the connection does not stay open.
     awaitable<void> send_answer(unsigned status, http_fields fields,
                                 std::string body);
 
-    /// Whether the caller has gone: it reset the connection, or closed its
-    /// side and time enough for a short answer has passed.
-    bool has_left() const { return m_has_left; }
+    /// Whether the caller has disconnected: it reset the connection, or closed
+    /// its sending side and the grace period for a short response has passed.
+    bool has_left() const { return m_has_disconnected; }
 
-    /// Whether the caller has gone, also where its close has come and was not
-    /// read yet since this process is behind.
+    /// Whether the caller has disconnected. If the event loop is behind, also
+    /// looks in the socket for a close that was not read yet.
     bool has_left_unseen();
 
-    /// Sets what is done as soon as the caller leaves; empty for nothing.
-    void set_on_left(std::function<void()> action)
+    /// Sets the callback that runs once when the caller disconnects; may be
+    /// empty.
+    void set_on_left(std::function<void()> callback)
     {
-        m_on_left = std::move(action);
+        m_on_disconnect = std::move(callback);
     }
 
-    /// Sets what is done shortly before this process ends; empty for nothing.
-    void set_on_ending(std::function<void()> action)
+    /// Sets the callback that runs once shortly before this process ends; may
+    /// be empty.
+    void set_on_ending(std::function<void()> callback)
     {
-        m_on_ending = std::move(action);
+        m_on_shutdown = std::move(callback);
     }
 
-    /// Notes that this process ends shortly.
+    /// Runs the callback for the end of this process.
     void note_ending()
     {
-        if (m_on_ending)
-            std::exchange(m_on_ending, nullptr)();
+        if (m_on_shutdown)
+            std::exchange(m_on_shutdown, nullptr)();
     }
 
-    /// Closes the connection after the present answer.
-    void close_after() { m_is_last = true; }
+    /// Closes the connection after the current response.
+    void close_after() { m_closes_after_response = true; }
 
-    /// Resets the connection at once: what was sent must not look complete.
+    /// Resets the connection at once, so that a partly sent response does not
+    /// look complete to the caller.
     void break_off();
 
-    /// Closes the connection if no request is being read or answered.
+    /// Closes the connection if no request is being read or handled.
     void close_if_idle();
 
-    /// Whether the connection stays open after the present answer.
-    bool stays_open() const { return !m_is_last && !m_handler.is_stopping(); }
+    /// Whether the connection stays open after the current response.
+    bool stays_open() const
+    {
+        return !m_closes_after_response && !m_handler.is_stopping();
+    }
 
 private:
-    using parser = http::request_parser<http::string_body>;
-
-    awaitable<void> read_all();
-    awaitable<void> leave(bool is_orderly);
-    void note_left();
+    using request_parser = http::request_parser<http::string_body>;
+
+    awaitable<void> receive();
+    /// Handles the end of the caller's data: a close if \a is_orderly, else a
+    /// reset or another error.
+    awaitable<void> handle_read_end(bool is_orderly);
+    void note_disconnect();
+    /// Reads the next request. Returns whether there is one.
     awaitable<bool> read_request();
-    /// Parses what has come. Returns the status to reject it with, or 0.
-    unsigned parse(parser& reading);
+    /// Parses the received bytes. Returns the status to reject the request
+    /// with, or 0.
+    unsigned parse(request_parser& parser);
     awaitable<void> reject(unsigned status);
 
     asio::io_context& m_loop;
     tcp::socket m_socket;
-    loop_timer m_guard;
+    loop_timer m_write_timer;
     request_handler& m_handler;
-    signal_point m_more;
-    signal_point m_space;
+    signal_point m_data_received;
+    signal_point m_space_available;
     std::string m_received;
     std::array<char, 4096> m_chunk{};
     http_request m_request;
-    std::function<void()> m_on_left;
-    std::function<void()> m_on_ending;
-    bool m_is_ended = false; ///< Nothing more comes from the caller.
-    bool m_has_left = false;
-    bool m_is_last = false;
-    bool m_is_busy = false;
+    std::function<void()> m_on_disconnect;
+    std::function<void()> m_on_shutdown;
+    bool m_is_read_closed = false; ///< The caller sends no more data.
+    bool m_has_disconnected = false;
+    bool m_closes_after_response = false;
+    bool m_is_handling = false;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/dialect.hpp
+++ b/packages/serving/dialect.hpp
@@ -11,45 +11,48 @@
 namespace mangofold::serving
 {
 
-/// The names and formats in which callers and targets speak. It translates
-/// and decides nothing.
+/// The wire format of callers and targets: translates between HTTP messages
+/// and the typed metadata that this package works with. Makes no decisions of
+/// its own, so that the serving code is independent of header names and body
+/// formats.
 class dialect
 {
 public:
     virtual ~dialect() = default;
 
-    /// Returns what \a request says about itself. Throws facts_error.
+    /// Returns the metadata in the headers of \a request. Throws facts_error.
     virtual request_facts facts(const http_request& request) const = 0;
 
-    /// Returns the headers of \a request that a target is to see, with the
-    /// marks that only this system sets.
+    /// Returns the headers to send to a target: those of \a request that may be
+    /// forwarded, and \a marks, which only this system sets.
     virtual http_fields forwarded(const http_request& request,
                                   const send_marks& marks) const = 0;
 
-    /// Returns what a target's \a answer says about itself.
+    /// Returns the metadata in the headers of a target's \a answer.
     virtual answer_facts answer(const http_answer_head& answer) const = 0;
 
-    /// Returns the headers of a target's answer that the caller is to see.
+    /// Returns the headers of a target's \a answer to pass on to the caller.
     virtual http_fields returned(const http_answer_head& answer) const = 0;
 
-    /// Returns the headers that bind an answer to the request \a id.
+    /// Returns the headers that mark a response as one to the request \a id.
     virtual http_fields echo(const std::string& id) const = 0;
 
-    /// Returns the call that makes \a pieces at the target \a target_id.
+    /// Returns the request that has the target \a target_id execute \a pieces.
     virtual http_request
     make_pieces(const std::string& target_id,
                 const std::vector<piece_order>& pieces) const = 0;
 
-    /// Returns the results in the answer to such a call, in the order of the
-    /// pieces. Throws facts_error.
+    /// Returns the results in the \a body of the response to a request of
+    /// make_pieces(), in the order of its pieces. Throws facts_error.
     virtual std::vector<piece_result>
     piece_results(std::string_view body) const = 0;
 
-    /// Returns the call that lets go of results.
+    /// Returns the request that has a target delete the results \a handles.
     virtual http_request
     release_results(const std::vector<std::string>& handles) const = 0;
 
-    /// Returns the address of the maker of a result, "IP:port".
+    /// Returns the address of the target that made the result \a handle,
+    /// "IP:port".
     virtual std::string maker_of(const std::string& handle) const = 0;
 };
 
--- a/packages/serving/event_stream.hpp
+++ b/packages/serving/event_stream.hpp
@@ -8,34 +8,39 @@
 namespace mangofold::serving
 {
 
-/// Cuts the bytes of an event stream into whole events, so that a caller
-/// never sees a part of one that its target did not finish.
+/// Splits the bytes of a text/event-stream into complete events and checks that
+/// their ids are consecutive. Only complete events are passed on, so that a
+/// caller never sees part of an event whose target failed in the middle of it.
 class event_stream
 {
 public:
-    /// Goes on after the event \a last, where an earlier run was broken off.
+    /// If given, \a last is the id of the last event of an interrupted stream
+    /// that this one resumes.
     explicit event_stream(std::optional<std::uint64_t> last = std::nullopt)
-        : m_last(last)
+        : m_last_id(last)
     {
     }
 
-    /// Adds \a bytes. Returns the whole events among what has come.
+    /// Appends \a bytes to the stream. Returns the events that are complete
+    /// now, or nothing if one of them is out of order.
     std::string add(std::string_view bytes);
 
-    /// Whether every event that began has ended.
-    bool is_between_events() const { return m_rest.empty(); }
+    /// Whether the stream is at the boundary of two events.
+    bool is_between_events() const { return m_incomplete.empty(); }
 
-    /// Whether an event came out of order: one is missing or came twice.
+    /// Whether an event was received out of order: one is missing or was
+    /// received twice.
     bool is_out_of_order() const { return m_is_out_of_order; }
 
-    /// Returns the number of the last whole event.
-    std::optional<std::uint64_t> last() const { return m_last; }
+    /// Returns the id of the last complete event, if it has one.
+    std::optional<std::uint64_t> last() const { return m_last_id; }
 
 private:
-    void note(std::string_view event);
+    /// Checks the id of \a event against the id of its predecessor.
+    void check_id(std::string_view event);
 
-    std::string m_rest;
-    std::optional<std::uint64_t> m_last;
+    std::string m_incomplete;
+    std::optional<std::uint64_t> m_last_id;
     bool m_is_out_of_order = false;
 };
 
--- a/packages/serving/facts.cpp
+++ b/packages/serving/facts.cpp
@@ -8,30 +8,35 @@
 namespace
 {
 
-/// Many times what a stage has in practice, some tens. Each piece that waits
-/// takes memory: a caller that says billions would end the process.
-constexpr std::uint32_t most_pieces = 4096;
+/// Far above the number of pieces that stages have in practice, some tens.
+/// Each pending piece takes memory, so a request for billions of them would
+/// exhaust the memory of the process.
+constexpr std::uint32_t max_pieces = 4096;
 
+/// Whether \a text consists of visible ASCII characters only.
 bool is_visible(const std::string& text)
 {
     return std::all_of(text.begin(), text.end(),
-                       [](char one) { return one > ' ' && one < '\x7f'; });
+                       [](char character)
+                       { return character > ' ' && character < '\x7f'; });
 }
 
 } // namespace
 
 void check_facts(const request_facts& facts)
 {
-    // Both go into messages that hold text only. One that could not be written
-    // would end the call of pieces of other requests too.
+    // The id and the key are written to text-only messages. If one of them
+    // could not be encoded, the call would fail for the pieces of other
+    // requests too.
     if (!is_visible(facts.id))
-        throw facts_error("an id with bytes that are no visible characters");
+        throw facts_error(
+            "request id has bytes that are not visible characters");
     if (!is_visible(facts.piece_key))
-        throw facts_error("a key of pieces with bytes that are no visible "
-                          "characters");
+        throw facts_error(
+            "piece key has bytes that are not visible characters");
     if (std::any_of(facts.pieces.begin(), facts.pieces.end(),
-                    [](std::uint32_t one) { return one > most_pieces; }))
-        throw facts_error("more pieces of a stage than are taken");
+                    [](std::uint32_t count) { return count > max_pieces; }))
+        throw facts_error("stage has more pieces than the limit");
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/http.cpp
+++ b/packages/serving/http.cpp
@@ -17,11 +17,11 @@
 
 void append_fields(std::string& out, const http_fields& fields)
 {
-    for (const auto& one : fields)
+    for (const auto& field : fields)
     {
-        append(out, view(one.name_string()));
+        append(out, view(field.name_string()));
         append(out, ": ");
-        append(out, view(one.value()));
+        append(out, view(field.value()));
         append(out, "\r\n");
     }
 }
@@ -31,8 +31,8 @@
 std::string to_bytes(const http_request& request, const std::string& host)
 {
     std::string out;
-    constexpr std::size_t usual_head = 1024;
-    out.reserve(usual_head + request.body().size());
+    constexpr std::size_t typical_head_size = 1024;
+    out.reserve(typical_head_size + request.body().size());
     append(out, view(request.method_string()));
     append(out, " ");
     append(out, view(request.target()));
@@ -69,16 +69,17 @@
         "transfer-encoding", "content-length", "te",
         "trailer",           "upgrade",        "expect",
         "proxy-authenticate"};
-    const std::string low = lower(name);
-    return std::find(names.begin(), names.end(), low) != names.end();
+    const std::string lower_name = lower(name);
+    return std::find(names.begin(), names.end(), lower_name) != names.end();
 }
 
 std::string lower(std::string_view text)
 {
-    std::string low(text);
-    std::transform(low.begin(), low.end(), low.begin(),
-                   [](unsigned char one) { return std::tolower(one); });
-    return low;
+    std::string result(text);
+    std::transform(result.begin(), result.end(), result.begin(),
+                   [](unsigned char character)
+                   { return std::tolower(character); });
+    return result;
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/http.hpp
+++ b/packages/serving/http.hpp
@@ -20,22 +20,24 @@
 using http_answer = http::response<http::string_body>;
 using http_answer_head = http::response_header<>;
 
+/// Returns \a text as a standard string view.
 inline std::string_view view(boost::beast::string_view text)
 {
     return {text.data(), text.size()};
 }
 
-/// Returns the bytes of a request, whole, with its length. \a host is named
-/// where the request names none.
+/// Returns the bytes of \a request, with a Content-Length header if it has a
+/// body. \a host becomes the Host header if the request has none.
 std::string to_bytes(const http_request& request, const std::string& host);
 
-/// Returns the bytes of an answer's first line and \a fields.
+/// Returns the bytes of a response's status line and header \a fields.
 std::string head_bytes(unsigned status, const http_fields& fields);
 
-/// Whether \a name concerns one connection only and must not be passed on.
+/// Whether \a name is a hop-by-hop header field: it concerns one connection
+/// only and must not be forwarded.
 bool is_of_connection(std::string_view name);
 
-/// Returns the lower-case text.
+/// Returns \a text in lower case.
 std::string lower(std::string_view text);
 
 } // namespace mangofold::serving
--- a/packages/serving/request_server.cpp
+++ b/packages/serving/request_server.cpp
@@ -8,15 +8,16 @@
 namespace mangofold::serving
 {
 
-void listen_at(tcp::acceptor& acceptor, const runtime::address& where)
+void listen_at(tcp::acceptor& acceptor, const runtime::address& address)
 {
-    const tcp::endpoint here(asio::ip::make_address_v4(where.host), where.port);
-    acceptor.open(here.protocol());
+    const tcp::endpoint endpoint(asio::ip::make_address_v4(address.host),
+                                 address.port);
+    acceptor.open(endpoint.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
-    acceptor.bind(here);
-    // As many as may come at once after all entries were away.
-    constexpr int most_waiting = 1024;
-    acceptor.listen(most_waiting);
+    acceptor.bind(endpoint);
+    // As many connections as may arrive at once after an outage of all entries.
+    constexpr int backlog = 1024;
+    acceptor.listen(backlog);
 }
 
 request_server::request_server(entry_context& context)
@@ -33,7 +34,8 @@
         tcp::socket socket = co_await m_acceptor.async_accept(into(fault));
         if (fault)
         {
-            // Out of descriptors, mostly: waiting lets some be given back.
+            // The usual cause is a lack of file descriptors; some may be closed
+            // until the next attempt.
             runtime::event("accept_failed")
                 .with("fault", fault.message())
                 .warn();
@@ -43,16 +45,17 @@
         }
         auto session = std::make_shared<caller_session>(
             m_context.loop, std::move(socket), *this);
-        constexpr std::size_t sweep_at = 256;
-        if (m_sessions.size() >= sweep_at)
+        constexpr std::size_t sweep_threshold = 256;
+        if (m_sessions.size() >= sweep_threshold)
             std::erase_if(m_sessions,
-                          [](const auto& one) { return one.expired(); });
+                          [](const auto& weak) { return weak.expired(); });
         m_sessions.push_back(session);
-        start(m_context.loop, keep(std::move(session)));
+        start(m_context.loop, run_session(std::move(session)));
     }
 }
 
-awaitable<void> request_server::keep(std::shared_ptr<caller_session> session)
+awaitable<void>
+request_server::run_session(std::shared_ptr<caller_session> session)
 {
     ++m_connections;
     try
@@ -74,8 +77,8 @@
     std::exception_ptr fault;
     try
     {
-        exchange one(m_context, std::move(session), std::move(request));
-        co_await one.run();
+        exchange handling(m_context, std::move(session), std::move(request));
+        co_await handling.run();
     }
     catch (...)
     {
@@ -94,15 +97,15 @@
 
 void request_server::end_unsent()
 {
-    for (const auto& one : m_sessions)
-        if (const auto session = one.lock())
+    for (const auto& weak : m_sessions)
+        if (const auto session = weak.lock())
             session->note_ending();
 }
 
 void request_server::close_idle()
 {
-    for (const auto& one : m_sessions)
-        if (const auto session = one.lock())
+    for (const auto& weak : m_sessions)
+        if (const auto session = weak.lock())
             session->close_if_idle();
 }
 
--- a/packages/serving/request_server.hpp
+++ b/packages/serving/request_server.hpp
@@ -9,13 +9,14 @@
 namespace mangofold::serving
 {
 
-/// Takes the callers' connections and answers their requests.
+/// The HTTP server for callers: accepts their connections, runs a session on
+/// each, and hands every request to an exchange of its own.
 class request_server : public request_handler
 {
 public:
     explicit request_server(entry_context& context);
 
-    /// Accepts connections for ever.
+    /// Accepts connections until the event loop stops.
     awaitable<void> run();
 
     awaitable<void> answer(std::shared_ptr<caller_session> session,
@@ -27,20 +28,24 @@
         return m_context.lateness.lag(m_context.now());
     }
 
+    /// Returns the number of requests that are being handled.
     std::size_t requests_in_progress() const { return m_in_progress; }
-    /// Returns the port on which it listens.
+
+    /// Returns the port on which the server listens.
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
 
+    /// Returns the number of open connections.
     std::size_t connections() const { return m_connections; }
 
-    /// Closes the connections on which nothing is going on.
+    /// Closes the connections on which no request is being read or handled.
     void close_idle();
 
-    /// Ends the requests that no target has got yet, since this process ends.
+    /// Rejects the requests that were not sent to a target yet, since this
+    /// process is about to end.
     void end_unsent();
 
 private:
-    awaitable<void> keep(std::shared_ptr<caller_session> session);
+    awaitable<void> run_session(std::shared_ptr<caller_session> session);
 
     entry_context& m_context;
     tcp::acceptor m_acceptor;
@@ -49,7 +54,8 @@
     std::size_t m_connections = 0;
 };
 
-/// Opens \a acceptor at \a where. Throws boost::system::system_error.
-void listen_at(tcp::acceptor& acceptor, const runtime::address& where);
+/// Opens \a acceptor and listens at \a address. Throws
+/// boost::system::system_error.
+void listen_at(tcp::acceptor& acceptor, const runtime::address& address);
 
 } // namespace mangofold::serving
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -64,7 +64,7 @@
      "            break;", ["foreign_entry"]),
     ("nobody notices that a caller leaves",
      "packages/serving/caller_session.cpp",
-     "    m_has_left = true;", "    return;", ["target_mode"]),
+     "    m_has_disconnected = true;", "    return;", ["target_mode"]),
     ("every word of a newer catalog asks for a copy",
      "packages/serving/peer_mesh.cpp",
      "    if (!lacking.asks(address, m_source.state(), m_context.now()))\n"
