--- a/tests/serving/event_stream_test.cpp
+++ b/tests/serving/event_stream_test.cpp
@@ -4,7 +4,7 @@
 
 using mangofold::serving::event_stream;
 
-TEST_CASE("only whole events come out")
+TEST_CASE("only complete events are passed on")
 {
     event_stream events;
     CHECK(events.add("id: 1\ndata: a\n").empty());
@@ -15,23 +15,23 @@
     CHECK(events.last() == 2);
 }
 
-// A caller's stream misses an event, or shows one twice.
-// 1. A target stops in the middle of its stream. 2. Another one goes on.
-// 3. It begins at the wrong event.
-TEST_CASE("a stream that goes on at the wrong event is noticed")
+// Guards against a caller's stream that misses an event or repeats one: a
+// target breaks off its stream, and the target that resumes the stream starts
+// at the wrong event.
+TEST_CASE("a stream that resumes at the wrong event is detected")
 {
-    event_stream again(4);
-    CHECK(again.add("id: 4\ndata: d\n\n").empty());
-    CHECK(again.is_out_of_order());
+    event_stream repeated(4);
+    CHECK(repeated.add("id: 4\ndata: d\n\n").empty());
+    CHECK(repeated.is_out_of_order());
     event_stream missing(4);
     missing.add("id: 6\ndata: f\n\n");
     CHECK(missing.is_out_of_order());
-    event_stream right(4);
-    CHECK_FALSE(right.add("id: 5\ndata: e\n\n").empty());
-    CHECK_FALSE(right.is_out_of_order());
+    event_stream next(4);
+    CHECK_FALSE(next.add("id: 5\ndata: e\n\n").empty());
+    CHECK_FALSE(next.is_out_of_order());
 }
 
-TEST_CASE("lines may end with carriage returns, and precede the number")
+TEST_CASE("lines may end with CRLF, and other fields may precede the id")
 {
     event_stream events;
     const std::string event = "version: 3\r\nid: 7\r\ndata: x\r\n\r\n";
--- a/tests/serving/stream_test.cpp
+++ b/tests/serving/stream_test.cpp
@@ -14,12 +14,14 @@
     return text.find(part) != std::string::npos;
 }
 
-std::string event(int number)
+/// Returns the bytes of the event with the id \a id.
+std::string event(int id)
 {
-    return "id: " + std::to_string(number) + "\ndata: e" +
-           std::to_string(number) + "\n\n";
+    return "id: " + std::to_string(id) + "\ndata: e" + std::to_string(id) +
+           "\n\n";
 }
 
+/// Returns \a bytes as a chunk of the chunked transfer encoding.
 std::string chunk(const std::string& bytes)
 {
     std::ostringstream out;
@@ -27,6 +29,7 @@
     return out.str();
 }
 
+/// Returns the head of a streamed response to the request \a id.
 std::string head(const std::string& id)
 {
     return "HTTP/1.1 200 OK\r\nId: " + id +
@@ -34,20 +37,22 @@
            "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-const std::string last = "0\r\n\r\n";
+/// The chunk that ends a chunked message.
+const std::string last_chunk = "0\r\n\r\n";
 
+/// Returns how often \a part occurs in \a text.
 std::size_t count(const std::string& text, const std::string& part)
 {
-    std::size_t found = 0;
+    std::size_t result = 0;
     for (std::size_t at = text.find(part); at != std::string::npos;
          at = text.find(part, at + 1))
-        ++found;
-    return found;
+        ++result;
+    return result;
 }
 
 } // namespace
 
-TEST_CASE("events are passed on as they come, and the end with them")
+TEST_CASE("events and the end of a stream are passed on")
 {
     serving_fixture entry;
     entry.add_target("events",
@@ -55,16 +60,16 @@
                      {
                          return scripted_target::reaction{
                              head("r1") + chunk(event(1)) + chunk(event(2)) +
-                                 last,
+                                 last_chunk,
                              end::keep};
                      });
-    const std::string got = entry.ask(request("/events/", "r1"), last);
+    const std::string got = entry.ask(request("/events/", "r1"), last_chunk);
     CHECK(has(got, "Transfer-Encoding: chunked"));
     CHECK(has(got, "data: e1"));
     CHECK(has(got, "data: e2"));
 }
 
-TEST_CASE("the first event reaches the caller before the last is made")
+TEST_CASE("the first event reaches the caller before the stream has ended")
 {
     serving_fixture entry;
     entry.add_target("events",
@@ -77,10 +82,10 @@
     entry.run_until([&] { return has(caller->received, "data: e1"); });
 }
 
-// A caller's stream ends early and looks whole.
-// 1. The target crashes in the middle of its stream. 2. The stream may not go
-// on elsewhere. 3. An orderly end would make the caller take it for whole.
-TEST_CASE("a stream that breaks off does not look whole")
+// Guards against a truncated stream that looks complete: the target crashes in
+// the middle of a stream that must not be resumed at another target, and a
+// final chunk would make the caller take the stream for complete.
+TEST_CASE("a stream that breaks off does not look complete")
 {
     for (const end then : {end::close, end::reset})
     {
@@ -94,42 +99,41 @@
         entry.send(*caller, request("/once-events/", "r1"));
         entry.run_until([&] { return caller->is_ended; });
         CHECK(has(caller->received, "data: e1"));
-        CHECK_FALSE(has(caller->received, last));
+        CHECK_FALSE(has(caller->received, last_chunk));
     }
 }
 
-// A caller's stream misses an event or shows one twice.
-// 1. A target breaks off in the middle of event 3. 2. Another one goes on
-// after event 2, which was the last whole one. 3. The half event must not
-// reach the caller.
-TEST_CASE("a stream that may be resumed goes on at another target")
+// Guards against a caller's stream that misses an event or repeats one: a
+// target breaks off in the middle of event 3, and another target resumes after
+// event 2, the last complete one. The partial event must not reach the caller.
+TEST_CASE("a resumable stream is resumed at another target")
 {
     serving_fixture entry;
     std::vector<std::string> sent;
     const auto script = [&sent](const std::string& text, std::size_t)
     {
         sent.push_back(text);
-        const std::string half = event(3).substr(0, 8);
+        const std::string partial = event(3).substr(0, 8);
         return sent.size() == 1
                    ? scripted_target::reaction{head("r1") +
                                                    chunk(event(1) + event(2)) +
-                                                   chunk(half),
+                                                   chunk(partial),
                                                end::reset}
                    : scripted_target::reaction{
-                         head("r1") + chunk(event(3)) + last, end::keep};
+                         head("r1") + chunk(event(3)) + last_chunk, end::keep};
     };
     entry.add_target("events", script);
     entry.add_target("events", script);
-    const std::string got = entry.ask(request("/events/", "r1"), last);
+    const std::string got = entry.ask(request("/events/", "r1"), last_chunk);
     REQUIRE(sent.size() == 2);
     CHECK(has(sent[1], "After: 2\r\n"));
     CHECK(count(got, "HTTP/1.1 200") == 1);
-    for (int one = 1; one <= 3; ++one)
-        CHECK(count(got, "data: e" + std::to_string(one) + "\n") == 1);
-    CHECK(has(got, last));
+    for (int id = 1; id <= 3; ++id)
+        CHECK(count(got, "data: e" + std::to_string(id) + "\n") == 1);
+    CHECK(has(got, last_chunk));
 }
 
-TEST_CASE("a target that goes on at the wrong event is left")
+TEST_CASE("a target that resumes at the wrong event is dropped")
 {
     serving_fixture entry;
     std::size_t sent = 0;
@@ -139,7 +143,7 @@
                    ? scripted_target::reaction{head("r1") + chunk(event(1)),
                                                end::reset}
                    : scripted_target::reaction{
-                         head("r1") + chunk(event(3)) + last, end::keep};
+                         head("r1") + chunk(event(3)) + last_chunk, end::keep};
     };
     entry.add_target("events", script);
     entry.add_target("events", script);
@@ -147,10 +151,10 @@
     entry.send(*caller, request("/events/", "r1"));
     entry.run_until([&] { return caller->is_ended; });
     CHECK_FALSE(has(caller->received, "data: e3"));
-    CHECK_FALSE(has(caller->received, last));
+    CHECK_FALSE(has(caller->received, last_chunk));
 }
 
-TEST_CASE("a stream ends at the target when its caller leaves")
+TEST_CASE("a stream ends at the target when its caller disconnects")
 {
     serving_fixture entry;
     auto& target =
@@ -168,7 +172,8 @@
     entry.run_until([&] { return target.closed_by_other() == 1; });
 }
 
-TEST_CASE("stages are made in order, their results handed on and let go of")
+TEST_CASE(
+    "stages run in order, and their results are passed on and then released")
 {
     serving_fixture entry;
     std::string where;
@@ -195,10 +200,11 @@
                      [](const std::string&, std::size_t)
                      {
                          return scripted_target::reaction{
-                             head("r1") + chunk(event(1)) + last, end::keep};
+                             head("r1") + chunk(event(1)) + last_chunk,
+                             end::keep};
                      });
     const std::string got =
-        entry.ask(request("/staged/", "r1", "Pieces: 21\r\n"), last);
+        entry.ask(request("/staged/", "r1", "Pieces: 21\r\n"), last_chunk);
     CHECK(has(got, "data: e1"));
     REQUIRE(maker.requests().size() >= 2);
     CHECK(has(maker.requests()[0], "r1.0.0\n"));
@@ -209,19 +215,19 @@
     entry.run_until(
         [&]
         {
-            std::size_t let_go = 0;
-            for (const auto& one : maker.requests())
-                if (has(one, "/let-go"))
-                    let_go += count(one, where + "/r1.");
-            return let_go == 3;
+            std::size_t released = 0;
+            for (const auto& received : maker.requests())
+                if (has(received, "/let-go"))
+                    released += count(received, where + "/r1.");
+            return released == 3;
         });
 }
 
-// A target with room for some hundred results makes calls that are half full.
-// 1. A second stage is being made from results of the first. 2. Those have
-// been fetched, and lie at their makers until the call ends. 3. The next
-// call there has no room for more.
-TEST_CASE("results are let go of as soon as they must have been fetched")
+// Guards against half-full calls at a target with memory for some hundred
+// results: while the second stage runs, the results of the first, although
+// already fetched, would stay at the targets that made them until the call
+// ends, and the next call there would find no memory for more.
+TEST_CASE("results are released as soon as they must have been fetched")
 {
     serving_fixture entry;
     std::string where;
@@ -243,7 +249,8 @@
     entry.run_until([&] { return made == 2; });
     entry.settle();
     CHECK(maker.requests().size() == 2);
-    // The way and the link take 40 ms at most; the call would take 210.
+    // Network latency and transfer take 40 ms at most; the call would take 210
+    // ms.
     entry.time.advance(60ms);
     entry.settle();
     entry.time.advance(30ms);
@@ -252,11 +259,12 @@
     CHECK(has(maker.requests()[2], "/let-go"));
 }
 
-// A long draft is late although its chain of stages was made in time.
-// 1. Its large stage follows no other, and starts when the chain is as near
-// to the end. 2. It looks like the first stage of a new request, and by now
-// of one that will be late. 3. It waits behind all that can be in time.
-TEST_CASE("a stage beside a chain is one of a request that has begun")
+// Guards against a request that is late although its chain of stages finished
+// in time: a large stage without predecessors starts only when the chain is as
+// close to the end. Taken for the first stage of a new request, by then one
+// that will be late, the stage would be queued behind all requests that can be
+// in time.
+TEST_CASE("a stage parallel to a chain belongs to a started request")
 {
     serving_fixture entry;
     entry.add_target(
@@ -278,15 +286,15 @@
     CHECK(entry.jobs[1].stage + entry.jobs[2].stage == 2);
 }
 
-// A caller waits to its deadline and gets a stream that is cut there.
-// 1. Streams of the route take two seconds. 2. The stages of a request wait
-// until a second is left. 3. Its stream begins, which cannot end in time, and
-// took the place of another one's.
-TEST_CASE("stages end early enough for the whole stream")
+// Guards against a stream that is cut off at the caller's deadline: streams of
+// the route take two seconds, but the stages of a request stay queued until one
+// second is left. The stream then starts although it cannot end in time, and
+// takes the capacity of another one.
+TEST_CASE("stages expire early enough for the whole stream")
 {
     serving_fixture entry;
     auto& times = entry.context->routes["staged"];
-    for (int one = 0; one < 300; ++one)
+    for (int sample = 0; sample < 300; ++sample)
         times.per_token.add(2s);
     const auto caller = entry.connect();
     entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
@@ -296,9 +304,9 @@
     CHECK(left > 2s);
 }
 
-// Guards against a process that ends while requests wait for their stages:
-// their callers saw the connection close, without an answer or a refusal.
-TEST_CASE("what still waits as a process ends is told to go elsewhere")
+// Guards against a process that ends while requests wait for their stages: the
+// callers saw the connection close without any response.
+TEST_CASE("requests that wait when the process ends get 503 and Retry-After")
 {
     serving_fixture entry;
     entry.context->drain.emplace(entry.time.now(), 8s, 2);
@@ -312,12 +320,11 @@
     CHECK(has(caller->received, "stopping"));
 }
 
-// A caller is told that its stages failed, three tenths of a second after it
-// asked, although it has seconds left.
-// 1. Several entries send calls to the same targets, as after a common start.
-// 2. A full target refuses a call three times within that time. 3. Nothing ran
-// and nothing was lost, but each refusal counted as a lost call.
-TEST_CASE("calls that full targets refuse end no request")
+// Guards against a request whose stages fail 0.3 s after it was sent, although
+// it has seconds left: several entries call the same targets, as after a common
+// start, and a full target refuses a call three times within that time. Nothing
+// ran and nothing was lost, but each refusal was counted as a lost call.
+TEST_CASE("calls that full targets refuse do not fail a request")
 {
     serving_fixture entry;
     std::size_t refused = 0;
@@ -327,8 +334,8 @@
         {
             if (has(text, "/let-go"))
                 return scripted_target::reaction{answer("", ""), end::keep};
-            constexpr std::size_t full_for = 8;
-            if (refused < full_for)
+            constexpr std::size_t max_refused = 8;
+            if (refused < max_refused)
             {
                 ++refused;
                 return scripted_target::reaction{
@@ -340,7 +347,8 @@
                      [](const std::string&, std::size_t)
                      {
                          return scripted_target::reaction{
-                             head("r1") + chunk(event(1)) + last, end::keep};
+                             head("r1") + chunk(event(1)) + last_chunk,
+                             end::keep};
                      });
     const auto caller = entry.connect();
     entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
@@ -349,15 +357,15 @@
         entry.settle();
         entry.time.advance(50ms);
     }
-    entry.run_until([&] { return has(caller->received, last); });
+    entry.run_until([&] { return has(caller->received, last_chunk); });
     CHECK(refused == 8);
     CHECK(has(caller->received, "HTTP/1.1 200"));
 }
 
-// A caller's request fails although its stages could be made again.
-// 1. The maker of a first result dies. 2. The second stage finds its input
-// gone.
-TEST_CASE("a result that is gone is made again from the start")
+// Guards against a request that fails although its stages could run again: the
+// target that holds the result of the first stage ends, and the second stage
+// finds its input lost.
+TEST_CASE("stages run again from the start when a result is lost")
 {
     serving_fixture entry;
     std::size_t made = 0;
@@ -377,18 +385,20 @@
                      [](const std::string&, std::size_t)
                      {
                          return scripted_target::reaction{
-                             head("r1") + chunk(event(1)) + last, end::keep};
+                             head("r1") + chunk(event(1)) + last_chunk,
+                             end::keep};
                      });
-    CHECK(has(entry.ask(request("/staged/", "r1", "Pieces: 11\r\n"), last),
-              "data: e1"));
+    CHECK(
+        has(entry.ask(request("/staged/", "r1", "Pieces: 11\r\n"), last_chunk),
+            "data: e1"));
     CHECK(made == 4);
 }
 
-// A process that was told to stop spins until it is killed.
-// 1. It ends while stages of a request are being made. 2. What waits is torn
-// down after the parts that it would hand its results back to. 3. It walks
-// through freed memory.
-TEST_CASE("a process may end while stages are being made")
+// Guards against a process that spins on shutdown until it is killed: it ends
+// while stages of a request are running, and the waiting coroutines are
+// destroyed after the objects that they would return their results to, so that
+// they use freed memory.
+TEST_CASE("a process may end while stages are running")
 {
     serving_fixture entry;
     auto& maker =
--- a/tests/support/one_shot_server.hpp
+++ b/tests/support/one_shot_server.hpp
@@ -13,21 +13,23 @@
 {
 
 /// A server that answers the first requests of each connection, then reads
-/// one more and closes without an answer.
+/// another request and closes the connection without a response.
 class one_shot_server
 {
 public:
-    explicit one_shot_server(unsigned answered) : m_answered(answered)
+    /// Starts the server, which answers \a answered requests of each
+    /// connection.
+    explicit one_shot_server(unsigned answered) : m_max_answers(answered)
     {
         m_socket = socket(AF_INET, SOCK_STREAM, 0);
-        sockaddr_in here{};
-        here.sin_family = AF_INET;
-        here.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        socklen_t size = sizeof here;
-        bind(m_socket, reinterpret_cast<sockaddr*>(&here), sizeof here);
+        sockaddr_in address{};
+        address.sin_family = AF_INET;
+        address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        socklen_t size = sizeof address;
+        bind(m_socket, reinterpret_cast<sockaddr*>(&address), sizeof address);
         listen(m_socket, 8);
-        getsockname(m_socket, reinterpret_cast<sockaddr*>(&here), &size);
-        m_port = ntohs(here.sin_port);
+        getsockname(m_socket, reinterpret_cast<sockaddr*>(&address), &size);
+        m_port = ntohs(address.sin_port);
         m_thread = std::thread([this] { serve(); });
     }
 
@@ -42,6 +44,7 @@
     one_shot_server& operator=(const one_shot_server&) = delete;
 
     std::uint16_t port() const { return m_port; }
+    /// Returns the number of requests received.
     unsigned requests() const { return m_requests; }
 
 private:
@@ -53,7 +56,7 @@
             if (peer < 0)
                 return;
             unsigned answers = 0;
-            while (read_request(peer) && answers < m_answered)
+            while (read_request(peer) && answers < m_max_answers)
             {
                 ++answers;
                 const std::string reply =
@@ -66,20 +69,20 @@
 
     bool read_request(int peer)
     {
-        std::string seen;
-        char block[1024];
-        while (seen.find("\r\n\r\n") == std::string::npos)
+        std::string received;
+        char buffer[1024];
+        while (received.find("\r\n\r\n") == std::string::npos)
         {
-            const ssize_t got = recv(peer, block, sizeof block, 0);
-            if (got <= 0)
+            const ssize_t size = recv(peer, buffer, sizeof buffer, 0);
+            if (size <= 0)
                 return false;
-            seen.append(block, static_cast<std::size_t>(got));
+            received.append(buffer, static_cast<std::size_t>(size));
         }
         ++m_requests;
         return true;
     }
 
-    unsigned m_answered;
+    unsigned m_max_answers;
     int m_socket = -1;
     std::uint16_t m_port = 0;
     std::atomic<unsigned> m_requests{0};
--- a/tests/support/plain_dialect.hpp
+++ b/tests/support/plain_dialect.hpp
@@ -7,7 +7,8 @@
 namespace mangofold::test
 {
 
-/// A dialect with plain names, for tests of what does not depend on them.
+/// A minimal dialect with short header names, for tests that do not depend on
+/// the names and formats of the real one.
 class plain_dialect : public serving::dialect
 {
 public:
@@ -17,7 +18,7 @@
         serving::request_facts facts;
         facts.id = text(request, "Id");
         if (facts.id.empty())
-            throw serving::facts_error("no id");
+            throw serving::facts_error("request has no id");
         facts.host = text(request, "Host");
         facts.path = serving::view(request.target());
         const std::string budget = text(request, "Budget");
@@ -25,8 +26,8 @@
             facts.budget = std::chrono::milliseconds(std::stoi(budget));
         if (request.count("Key") > 0)
             facts.key = text(request, "Key");
-        for (const char one : text(request, "Pieces"))
-            facts.pieces.push_back(static_cast<std::uint32_t>(one - '0'));
+        for (const char digit : text(request, "Pieces"))
+            facts.pieces.push_back(static_cast<std::uint32_t>(digit - '0'));
         facts.piece_key = "k";
         return facts;
     }
@@ -36,10 +37,11 @@
               const serving::send_marks& marks) const override
     {
         serving::http_fields fields;
-        for (const auto& one : request)
-            if (!serving::is_of_connection(serving::view(one.name_string())) &&
-                one.name_string() != "Key")
-                fields.insert(one.name_string(), one.value());
+        for (const auto& field : request)
+            if (!serving::is_of_connection(
+                    serving::view(field.name_string())) &&
+                field.name_string() != "Key")
+                fields.insert(field.name_string(), field.value());
         fields.set("To", marks.target_id);
         if (marks.account)
             fields.set("Account", *marks.account);
@@ -63,9 +65,9 @@
     returned(const serving::http_answer_head& answer) const override
     {
         serving::http_fields fields;
-        for (const auto& one : answer)
-            if (!serving::is_of_connection(serving::view(one.name_string())))
-                fields.insert(one.name_string(), one.value());
+        for (const auto& field : answer)
+            if (!serving::is_of_connection(serving::view(field.name_string())))
+                fields.insert(field.name_string(), field.value());
         return fields;
     }
 
@@ -81,11 +83,11 @@
                 const std::vector<serving::piece_order>& pieces) const override
     {
         serving::http_request call{serving::http::verb::post, "/make", 11};
-        for (const auto& one : pieces)
+        for (const auto& piece : pieces)
         {
-            call.body() += one.request + "." + std::to_string(one.stage) + "." +
-                           std::to_string(one.piece);
-            for (const auto& input : one.inputs)
+            call.body() += piece.request + "." + std::to_string(piece.stage) +
+                           "." + std::to_string(piece.piece);
+            for (const auto& input : piece.inputs)
                 call.body() += "<" + input;
             call.body() += "\n";
         }
@@ -116,8 +118,8 @@
     release_results(const std::vector<std::string>& handles) const override
     {
         serving::http_request call{serving::http::verb::post, "/let-go", 11};
-        for (const auto& one : handles)
-            call.body() += one + "\n";
+        for (const auto& handle : handles)
+            call.body() += handle + "\n";
         return call;
     }
 
@@ -127,6 +129,7 @@
     }
 
 private:
+    /// Returns the value of the field \a name, empty if there is none.
     static std::string text(const serving::http_fields& fields,
                             const char* name)
     {
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -15,25 +15,25 @@
 
 catalog::route route(const std::string& name, const std::string& service)
 {
-    catalog::route one;
-    one.name = name;
-    one.host = "h";
-    one.prefix = "/" + name + "/";
-    one.timeout = 5s;
-    one.aim = 1s;
-    one.services = {{service, 1}};
-    return one;
+    catalog::route result;
+    result.name = name;
+    result.host = "h";
+    result.prefix = "/" + name + "/";
+    result.timeout = 5s;
+    result.aim = 1s;
+    result.services = {{service, 1}};
+    return result;
 }
 
 catalog::document document()
 {
-    catalog::document made;
-    made.version = 1;
-    made.checks_keys = true;
-    made.accounts = {{"club", 0, {"good-key"}}};
-    catalog::route again = route("again", "plain");
-    again.is_repeatable = true;
-    again.max_targets = 2;
+    catalog::document result;
+    result.version = 1;
+    result.checks_keys = true;
+    result.accounts = {{"club", 0, {"good-key"}}};
+    catalog::route repeatable = route("again", "plain");
+    repeatable.is_repeatable = true;
+    repeatable.max_targets = 2;
     catalog::route events = route("events", "events");
     events.is_stream = true;
     events.is_resumable = true;
@@ -43,21 +43,25 @@
     catalog::route staged = route("staged", "events");
     staged.is_stream = true;
     staged.stages = {{"pieces", {}, 10}, {"pieces", {0}, 10}};
-    catalog::route beside = staged;
-    beside.name = "beside";
-    beside.prefix = "/beside/";
-    beside.stages = {
+    catalog::route parallel = staged;
+    parallel.name = "beside";
+    parallel.prefix = "/beside/";
+    parallel.stages = {
         {"pieces", {}, 900}, {"pieces", {}, 10}, {"pieces", {1}, 10}};
-    made.routes = {
-        route("once", "plain"), again, events, once_events, staged, beside};
-    made.services = {
+    result.routes = {route("once", "plain"),
+                     repeatable,
+                     events,
+                     once_events,
+                     staged,
+                     parallel};
+    result.services = {
         {"plain", 10, {}, {}},
         {"events", 10, {}, catalog::engine_shape{4, 1000}, {3s, 16}},
         {"pieces",
          10,
          catalog::call_shape{1, 1, 8, 200ms, 10ms, 1000, 4s, 1e9},
          {}}};
-    return made;
+    return result;
 }
 
 } // namespace
@@ -80,32 +84,33 @@
     server = std::make_unique<request_server>(*context);
     start(loop, server->run());
     start(loop, gathering->run());
-    start(loop, note_turns());
+    start(loop, note_timer_runs());
 }
 
-awaitable<void> serving_fixture::note_turns()
+awaitable<void> serving_fixture::note_timer_runs()
 {
     for (;;)
     {
         context->lateness.note_timer_run(context->now());
         loop_timer timer(loop, turn_interval);
-        error_code ignored; // Nobody cancels it.
+        error_code ignored; // The timer is never cancelled.
         co_await timer.async_wait(into(ignored));
     }
 }
 
 serving_fixture::~serving_fixture()
 {
-    // Coroutines hold parts of what follows, so they end first.
+    // The coroutines refer to members that are destroyed next, so they must
+    // not run again.
     loop.stop();
 }
 
 scripted_target& serving_fixture::add_target(const std::string& service,
-                                             scripted_target::script reacts,
+                                             scripted_target::script script,
                                              const std::string& zone)
 {
     m_targets.push_back(
-        std::make_unique<scripted_target>(loop, std::move(reacts)));
+        std::make_unique<scripted_target>(loop, std::move(script)));
     const std::uint64_t number = m_targets.size();
     context->directory.note({"t" + std::to_string(number), service,
                              m_targets.back()->address(), zone, 4, false,
@@ -115,32 +120,33 @@
 
 std::shared_ptr<serving_fixture::caller> serving_fixture::connect()
 {
-    auto one = std::make_shared<caller>(loop);
-    one->socket.connect({asio::ip::address_v4::loopback(), server->port()});
-    start(loop, receive(one));
-    return one;
+    auto connection = std::make_shared<caller>(loop);
+    connection->socket.connect(
+        {asio::ip::address_v4::loopback(), server->port()});
+    start(loop, receive(connection));
+    return connection;
 }
 
-awaitable<void> serving_fixture::receive(std::shared_ptr<caller> one)
+awaitable<void> serving_fixture::receive(std::shared_ptr<caller> to)
 {
     std::array<char, 4096> chunk{};
     for (;;)
     {
         error_code fault;
-        const std::size_t count = co_await one->socket.async_read_some(
+        const std::size_t count = co_await to->socket.async_read_some(
             asio::buffer(chunk), into(fault));
-        one->received.append(chunk.data(), count);
+        to->received.append(chunk.data(), count);
         if (!fault)
             continue;
-        one->is_ended = true;
-        one->is_reset = fault == asio::error::connection_reset;
+        to->is_ended = true;
+        to->is_reset = fault == asio::error::connection_reset;
         co_return;
     }
 }
 
-void serving_fixture::send(caller& one, const std::string& bytes)
+void serving_fixture::send(caller& to, const std::string& bytes)
 {
-    asio::write(one.socket, asio::buffer(bytes));
+    asio::write(to.socket, asio::buffer(bytes));
 }
 
 void serving_fixture::settle()
@@ -150,26 +156,27 @@
         loop.run_for(1ms);
 }
 
-void serving_fixture::run_until(const std::function<bool()>& done)
+void serving_fixture::run_until(const std::function<bool()>& is_done)
 {
-    constexpr int most_steps = 20000;
-    for (int step = 0; step < most_steps && !done(); ++step)
+    constexpr int max_steps = 20000;
+    for (int step = 0; step < max_steps && !is_done(); ++step)
         loop.run_for(1ms);
-    REQUIRE(done());
+    REQUIRE(is_done());
 }
 
 std::string serving_fixture::ask(const std::string& request,
                                  const std::string& end)
 {
-    const auto one = connect();
-    send(*one, request);
+    const auto connection = connect();
+    send(*connection, request);
     run_until(
-        [&] {
-            return one->is_ended ||
-                   one->received.find(end) != std::string::npos;
+        [&]
+        {
+            return connection->is_ended ||
+                   connection->received.find(end) != std::string::npos;
         });
     settle();
-    return one->received;
+    return connection->received;
 }
 
 void serving_fixture::make(const std::string& service, decision::stage_job job,
@@ -178,10 +185,10 @@
     jobs.push_back(job);
     gathering->add(
         service, std::move(job),
-        [wait](piece_outcome value)
+        [wait](piece_outcome outcome)
         {
             const bool is_wanted = !wait->is_dropped();
-            wait->set_outcome(std::move(value));
+            wait->set_outcome(std::move(outcome));
             return is_wanted;
         },
         [wait] { return !wait->is_dropped(); },
@@ -195,17 +202,17 @@
 }
 
 std::string request(const std::string& path, const std::string& id,
-                    const std::string& more)
+                    const std::string& headers)
 {
     return "GET " + path +
            " HTTP/1.1\r\nHost: h\r\nKey: good-key\r\nId: " + id + "\r\n" +
-           more + "\r\n";
+           headers + "\r\n";
 }
 
 std::string answer(const std::string& id, const std::string& body,
-                   const std::string& status, const std::string& more)
+                   const std::string& status, const std::string& headers)
 {
-    return "HTTP/1.1 " + status + "\r\nId: " + id + "\r\n" + more +
+    return "HTTP/1.1 " + status + "\r\nId: " + id + "\r\n" + headers +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
--- a/tests/support/serving_fixture.hpp
+++ b/tests/support/serving_fixture.hpp
@@ -13,20 +13,21 @@
 namespace mangofold::test
 {
 
-/// An entry's request path on loopback, with a paused clock and targets that
-/// a test scripts.
+/// The complete request path of an entry on loopback, with a paused clock and
+/// with targets whose responses the test scripts.
 class serving_fixture : public serving::piece_maker
 {
 public:
     serving_fixture();
     ~serving_fixture() override;
 
-    /// Adds a target of the service "plain", "events" or "pieces".
+    /// Adds a target of the service "plain", "events" or "pieces" that reacts
+    /// to requests with \a script.
     scripted_target& add_target(const std::string& service,
-                                scripted_target::script reacts,
+                                scripted_target::script script,
                                 const std::string& zone = "a");
 
-    /// A caller's connection.
+    /// A caller's connection to the entry, with all that was received on it.
     struct caller
     {
         explicit caller(serving::asio::io_context& loop) : socket(loop) {}
@@ -37,16 +38,18 @@
     };
 
     std::shared_ptr<caller> connect();
-    void send(caller& one, const std::string& bytes);
+    void send(caller& to, const std::string& bytes);
 
-    /// Runs the loop until \a done, or fails the test after many steps.
-    void run_until(const std::function<bool()>& done);
+    /// Runs the loop until \a is_done returns true. Fails the test if that
+    /// takes too many steps.
+    void run_until(const std::function<bool()>& is_done);
 
-    /// Runs what can run now.
+    /// Runs the loop for a short real time, enough for the work that can
+    /// proceed without moving the paused clock.
     void settle();
 
-    /// Sends \a request on a new connection; returns what came once \a end
-    /// was seen in it.
+    /// Sends \a request on a new connection. Returns the bytes received when
+    /// they contain \a end or the connection has ended.
     std::string ask(const std::string& request,
                     const std::string& end = "\r\n\r\n");
 
@@ -56,7 +59,7 @@
     std::unique_ptr<serving::entry_context> context;
     std::unique_ptr<serving::gatherer> gathering;
     std::unique_ptr<serving::request_server> server;
-    std::vector<decision::stage_job> jobs; ///< As they were asked for.
+    std::vector<decision::stage_job> jobs; ///< All jobs requested so far.
 
     void make(const std::string& service, decision::stage_job job,
               serving::piece_wait_ptr wait) override;
@@ -64,19 +67,21 @@
                  std::vector<std::string> handles) override;
 
 private:
-    serving::awaitable<void> note_turns();
-    serving::awaitable<void> receive(std::shared_ptr<caller> one);
+    /// Keeps the loop's lag up to date, as an entry process does.
+    serving::awaitable<void> note_timer_runs();
+    serving::awaitable<void> receive(std::shared_ptr<caller> to);
 
     std::vector<std::unique_ptr<scripted_target>> m_targets;
 };
 
-/// Returns a request to \a path with the id \a id.
+/// Returns the bytes of a request to \a path with the id \a id and the header
+/// lines \a headers.
 std::string request(const std::string& path, const std::string& id,
-                    const std::string& more = {});
+                    const std::string& headers = {});
 
-/// Returns a whole answer of a target to the request \a id.
+/// Returns the bytes of a target's complete response to the request \a id.
 std::string answer(const std::string& id, const std::string& body,
                    const std::string& status = "200 OK",
-                   const std::string& more = "Seal: s\r\n");
+                   const std::string& headers = "Seal: s\r\n");
 
 } // namespace mangofold::test
