--- a/bench/ablation/mechanisms.py
+++ b/bench/ablation/mechanisms.py
@@ -64,5 +64,5 @@
      "constexpr double remote_zone_cost = 0;"),
     ("refusing what waits as the process ends",
      "packages/serving/entry_process.cpp",
-     "            m_requests.end_unsent();", "            ;"),
+     "            m_requests.reject_unsent();", "            ;"),
 ]
--- a/packages/serving/asio.cpp
+++ b/packages/serving/asio.cpp
@@ -5,7 +5,7 @@
 namespace mangofold::serving
 {
 
-void note_failed(const std::exception_ptr& fault)
+void log_failure(const std::exception_ptr& fault)
 {
     try
     {
--- a/packages/serving/asio.hpp
+++ b/packages/serving/asio.hpp
@@ -29,29 +29,29 @@
 
 /// Returns a completion token that stores an error in \a fault instead of
 /// throwing it.
-inline auto into(error_code& fault)
+inline auto store_error_in(error_code& fault)
 {
     return asio::redirect_error(asio::use_awaitable, fault);
 }
 
 /// Logs the exception that ended a detached coroutine.
-void note_failed(const std::exception_ptr& fault);
+void log_failure(const std::exception_ptr& fault);
 
 /// Starts \a work as a detached coroutine and logs the exception that ends
 /// it, if any.
 template<typename Awaitable>
-void start(asio::io_context& loop, Awaitable&& work)
+void spawn(asio::io_context& loop, Awaitable&& work)
 {
     asio::co_spawn(loop, std::forward<Awaitable>(work),
                    [](const std::exception_ptr& fault)
                    {
                        if (fault)
-                           note_failed(fault);
+                           log_failure(fault);
                    });
 }
 
 /// Returns the time left from \a now until \a deadline, never negative.
-inline duration until(instant deadline, instant now)
+inline duration time_until(instant deadline, instant now)
 {
     return std::max(deadline - now, duration::zero());
 }
--- a/packages/serving/caller_session.cpp
+++ b/packages/serving/caller_session.cpp
@@ -44,7 +44,7 @@
         return true;
     const auto encoding = head.find(http::field::transfer_encoding);
     return encoding != head.end() &&
-           (lower(view(encoding->value())) != "chunked" ||
+           (to_lower(view(encoding->value())) != "chunked" ||
             head.count(http::field::content_length));
 }
 
@@ -62,7 +62,7 @@
     const auto self = shared_from_this();
     error_code ignored; // Without the option small writes only wait longer.
     m_socket.set_option(tcp::no_delay(true), ignored);
-    start(m_loop, receive());
+    spawn(m_loop, receive());
     while (!m_closes_after_response)
     {
         // In a condition with another operand, g++ 12 evaluates that operand
@@ -71,7 +71,7 @@
         if (!has_request)
             break;
         m_is_handling = true;
-        co_await m_handler.answer(self, std::move(m_request));
+        co_await m_handler.handle(self, std::move(m_request));
         m_is_handling = false;
         m_on_disconnect = nullptr;
         m_on_shutdown = nullptr;
@@ -90,7 +90,7 @@
     {
         error_code fault;
         const std::size_t count = co_await m_socket.async_read_some(
-            asio::buffer(m_chunk), into(fault));
+            asio::buffer(m_chunk), store_error_in(fault));
         if (fault)
         {
             co_await handle_read_end(fault == asio::error::eof);
@@ -109,7 +109,7 @@
     m_data_received.raise();
     // If the event loop is behind, the close may have arrived that long ago,
     // which shortens the grace period.
-    const duration lag = m_handler.lateness();
+    const duration lag = m_handler.loop_lag();
     const bool may_expect_response =
         is_orderly && (m_is_handling || !m_received.empty());
     if (may_expect_response && lag < disconnect_bound)
@@ -117,7 +117,7 @@
         loop_timer timer(m_loop,
                          std::min(half_closed_grace, disconnect_bound - lag));
         error_code ignored; // The timer is never cancelled.
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
     }
     note_disconnect();
 }
@@ -133,9 +133,9 @@
 // A process that was suspended or is behind finds a request and the close
 // after it at the same time, and handles the request first. Forwarded, that
 // request would keep a target busy for a caller that disconnected long ago.
-bool caller_session::has_left_unseen()
+bool caller_session::check_disconnected()
 {
-    if (m_has_disconnected || m_handler.lateness() < disconnect_bound)
+    if (m_has_disconnected || m_handler.loop_lag() < disconnect_bound)
         return m_has_disconnected;
     error_code fault;
     m_socket.non_blocking(true, fault);
@@ -228,8 +228,8 @@
 
 awaitable<void> caller_session::reject(unsigned status)
 {
-    close_after();
-    co_await send_answer(status, {}, {});
+    close_after_response();
+    co_await send_response(status, {}, {});
 }
 
 awaitable<bool> caller_session::send(std::string bytes)
@@ -242,27 +242,29 @@
         {
             const auto self = weak.lock();
             if (!fault && self)
-                self->break_off();
+                self->reset_connection();
         });
     error_code fault;
-    co_await asio::async_write(m_socket, asio::buffer(bytes), into(fault));
+    co_await asio::async_write(m_socket, asio::buffer(bytes),
+                               store_error_in(fault));
     m_write_timer.cancel();
     co_return !fault;
 }
 
-awaitable<void> caller_session::send_answer(unsigned status, http_fields fields,
-                                            std::string body)
+awaitable<void> caller_session::send_response(unsigned status,
+                                              http_fields fields,
+                                              std::string body)
 {
     fields.set(http::field::content_length, std::to_string(body.size()));
     if (!stays_open())
         fields.set(http::field::connection, "close");
-    std::string bytes = head_bytes(status, fields);
+    std::string bytes = serialize_head(status, fields);
     bytes += body;
     if (!co_await send(std::move(bytes)))
-        close_after();
+        close_after_response();
 }
 
-void caller_session::break_off()
+void caller_session::reset_connection()
 {
     error_code ignored; // Closing a dead socket may fail; it is gone anyway.
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/packages/serving/caller_session.hpp
+++ b/packages/serving/caller_session.hpp
@@ -21,7 +21,7 @@
     virtual ~request_handler() = default;
 
     /// Handles \a request and sends the response on \a session.
-    virtual awaitable<void> answer(std::shared_ptr<caller_session> session,
+    virtual awaitable<void> handle(std::shared_ptr<caller_session> session,
                                    http_request request) = 0;
 
     /// Returns the current limits on callers' requests and connections.
@@ -33,7 +33,7 @@
 
     /// Returns how far the event loop is behind: an event that is handled now
     /// may have been pending for this long.
-    virtual duration lateness() const = 0;
+    virtual duration loop_lag() const = 0;
 };
 
 /// One client connection: reads its HTTP requests one after the other, passes
@@ -53,44 +53,44 @@
 
     /// Sends a complete response. Adds Content-Length, and "Connection: close"
     /// if the connection does not stay open.
-    awaitable<void> send_answer(unsigned status, http_fields fields,
-                                std::string body);
+    awaitable<void> send_response(unsigned status, http_fields fields,
+                                  std::string body);
 
     /// Whether the caller has disconnected: it reset the connection, or closed
     /// its sending side and the grace period for a short response has passed.
-    bool has_left() const { return m_has_disconnected; }
+    bool has_disconnected() const { return m_has_disconnected; }
 
     /// Whether the caller has disconnected. If the event loop is behind, also
     /// looks in the socket for a close that was not read yet.
-    bool has_left_unseen();
+    bool check_disconnected();
 
     /// Sets the callback that runs once when the caller disconnects; may be
     /// empty.
-    void set_on_left(std::function<void()> callback)
+    void set_on_disconnect(std::function<void()> callback)
     {
         m_on_disconnect = std::move(callback);
     }
 
     /// Sets the callback that runs once shortly before this process ends; may
     /// be empty.
-    void set_on_ending(std::function<void()> callback)
+    void set_on_shutdown(std::function<void()> callback)
     {
         m_on_shutdown = std::move(callback);
     }
 
     /// Runs the callback for the end of this process.
-    void note_ending()
+    void note_shutdown()
     {
         if (m_on_shutdown)
             std::exchange(m_on_shutdown, nullptr)();
     }
 
     /// Closes the connection after the current response.
-    void close_after() { m_closes_after_response = true; }
+    void close_after_response() { m_closes_after_response = true; }
 
     /// Resets the connection at once, so that a partly sent response does not
     /// look complete to the caller.
-    void break_off();
+    void reset_connection();
 
     /// Closes the connection if no request is being read or handled.
     void close_if_idle();
--- a/packages/serving/dialect.hpp
+++ b/packages/serving/dialect.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "decision/stage_job.hpp"
-#include "serving/facts.hpp"
 #include "serving/http.hpp"
+#include "serving/message_metadata.hpp"
 
 #include <string>
 #include <string_view>
@@ -20,40 +20,46 @@
 public:
     virtual ~dialect() = default;
 
-    /// Returns the metadata in the headers of \a request. Throws facts_error.
-    virtual request_facts facts(const http_request& request) const = 0;
+    /// Returns the metadata in the headers of \a request. Throws
+    /// invalid_message.
+    virtual request_metadata
+    parse_request(const http_request& request) const = 0;
 
     /// Returns the headers to send to a target: those of \a request that may be
-    /// forwarded, and \a marks, which only this system sets.
-    virtual http_fields forwarded(const http_request& request,
-                                  const send_marks& marks) const = 0;
+    /// forwarded, and \a metadata, which only this system sets.
+    virtual http_fields
+    forwarded_fields(const http_request& request,
+                     const forwarding_metadata& metadata) const = 0;
 
-    /// Returns the metadata in the headers of a target's \a answer.
-    virtual answer_facts answer(const http_answer_head& answer) const = 0;
+    /// Returns the metadata in the headers of a target's \a response.
+    virtual response_metadata
+    parse_response(const http_response_head& response) const = 0;
 
-    /// Returns the headers of a target's \a answer to pass on to the caller.
-    virtual http_fields returned(const http_answer_head& answer) const = 0;
+    /// Returns the headers of a target's \a response to pass on to the caller.
+    virtual http_fields
+    returned_fields(const http_response_head& response) const = 0;
 
     /// Returns the headers that mark a response as one to the request \a id.
-    virtual http_fields echo(const std::string& id) const = 0;
+    virtual http_fields request_id_fields(const std::string& id) const = 0;
 
     /// Returns the request that has the target \a target_id execute \a pieces.
     virtual http_request
-    make_pieces(const std::string& target_id,
-                const std::vector<piece_order>& pieces) const = 0;
+    make_pieces_request(const std::string& target_id,
+                        const std::vector<piece_task>& pieces) const = 0;
 
     /// Returns the results in the \a body of the response to a request of
-    /// make_pieces(), in the order of its pieces. Throws facts_error.
+    /// make_pieces_request(), in the order of its pieces. Throws
+    /// invalid_message.
     virtual std::vector<piece_result>
-    piece_results(std::string_view body) const = 0;
+    parse_piece_results(std::string_view body) const = 0;
 
     /// Returns the request that has a target delete the results \a handles.
     virtual http_request
-    release_results(const std::vector<std::string>& handles) const = 0;
+    make_release_request(const std::vector<std::string>& handles) const = 0;
 
     /// Returns the address of the target that made the result \a handle,
     /// "IP:port".
-    virtual std::string maker_of(const std::string& handle) const = 0;
+    virtual std::string producer_address(const std::string& handle) const = 0;
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/elected_maker.cpp
+++ b/packages/serving/elected_maker.cpp
@@ -29,7 +29,7 @@
     {
         error_code ignored; // Nobody cancels it.
         timer.expires_after(tick);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
     }
     m_is_open = true;
     hand_out();
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -77,7 +77,7 @@
 awaitable<void> entry_process::watch_signals()
 {
     error_code fault;
-    co_await m_signals.async_wait(into(fault));
+    co_await m_signals.async_wait(store_error_in(fault));
     if (!fault)
         co_await stop();
 }
@@ -97,16 +97,16 @@
     {
         const instant now = m_context.now();
         if (m_context.drain->is_out_of_rotation(now))
-            m_requests.close_idle();
+            m_requests.close_idle_connections();
         const bool is_idle =
             m_requests.connections() == 0 && m_gatherer.jobs() == 0;
         if (now + last_answers_time >= m_context.drain->request_deadline())
-            m_requests.end_unsent();
+            m_requests.reject_unsent();
         if (m_context.drain->may_exit(now, is_idle))
             break;
         error_code ignored; // Nobody cancels it.
         timer.expires_after(stop_tick);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
     }
     runtime::event("stopped")
         .with("requests", m_requests.requests_in_progress())
@@ -121,7 +121,7 @@
     {
         error_code ignored; // Nobody cancels it.
         timer.expires_after(tidy_interval);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         m_context.links.drop_old();
         // A watch can wait for seconds, which a target that is gone must not.
         m_context.directory.expire(m_context.now());
@@ -151,7 +151,7 @@
     {
         error_code ignored; // Nobody cancels it.
         timer.expires_after(log_interval);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         note_turn();
         spdlog::default_logger()->flush();
     }
@@ -176,17 +176,17 @@
 {
     m_context.requests_wait_until = m_context.now() + first_catalog_time;
     m_mesh.set_started();
-    start(m_context.loop, watch_signals());
-    start(m_context.loop, m_settings.run());
-    start(m_context.loop, m_source.run());
-    start(m_context.loop, m_mesh.run());
-    start(m_context.loop, m_peers.run());
-    start(m_context.loop, m_gatherer.run());
-    start(m_context.loop, m_maker.run());
-    start(m_context.loop, m_requests.run());
-    start(m_context.loop, m_status.run());
-    start(m_context.loop, tidy());
-    start(m_context.loop, write_logs());
+    spawn(m_context.loop, watch_signals());
+    spawn(m_context.loop, m_settings.run());
+    spawn(m_context.loop, m_source.run());
+    spawn(m_context.loop, m_mesh.run());
+    spawn(m_context.loop, m_peers.run());
+    spawn(m_context.loop, m_gatherer.run());
+    spawn(m_context.loop, m_maker.run());
+    spawn(m_context.loop, m_requests.run());
+    spawn(m_context.loop, m_status.run());
+    spawn(m_context.loop, tidy());
+    spawn(m_context.loop, write_logs());
     runtime::event("started").with("zone", m_context.settings.zone).info();
     m_context.loop.run();
     spdlog::default_logger()->flush();
--- a/packages/serving/event_stream.hpp
+++ b/packages/serving/event_stream.hpp
@@ -33,7 +33,7 @@
     bool is_out_of_order() const { return m_is_out_of_order; }
 
     /// Returns the id of the last complete event, if it has one.
-    std::optional<std::uint64_t> last() const { return m_last_id; }
+    std::optional<std::uint64_t> last_id() const { return m_last_id; }
 
 private:
     /// Checks the id of \a event against the id of its predecessor.
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -47,13 +47,13 @@
 // The session goes on, also where this one ended with an exception.
 exchange::~exchange()
 {
-    m_session->set_on_left(nullptr);
-    m_session->set_on_ending(nullptr);
+    m_session->set_on_disconnect(nullptr);
+    m_session->set_on_shutdown(nullptr);
 }
 
 std::uint32_t exchange::tokens_out() const
 {
-    return std::max<std::uint32_t>(1, m_facts.most_tokens_out);
+    return std::max<std::uint32_t>(1, m_facts.max_output_tokens);
 }
 
 duration exchange::left() const
@@ -81,7 +81,7 @@
 decision::generation_request exchange::generation() const
 {
     decision::generation_request work;
-    for (const prompt_part& part : m_facts.prompt)
+    for (const prompt_segment& part : m_facts.prompt)
         work.prompt.push_back({part.id, part.tokens});
     if (m_stages)
         work.inputs = m_stages->bytes_by_zone();
@@ -90,7 +90,7 @@
 
 awaitable<void> exchange::run()
 {
-    m_session->set_on_left(
+    m_session->set_on_disconnect(
         [this]
         {
             if (m_call)
@@ -98,7 +98,7 @@
             if (m_stages)
                 m_stages->abort();
         });
-    m_session->set_on_ending([this] { end_soon(); });
+    m_session->set_on_shutdown([this] { end_soon(); });
     co_await wait_for_catalog();
     if (admit())
     {
@@ -106,10 +106,10 @@
         co_await serve();
     }
     drop_stages();
-    if (m_session->has_left())
+    if (m_session->has_disconnected())
     {
         m_context.count("requests_left", "kind", "caller");
-        m_session->close_after();
+        m_session->close_after_response();
         co_return;
     }
     if (m_is_ending && m_answered == 0)
@@ -130,7 +130,7 @@
     constexpr int most_rounds = 6;
     for (int round = 0; round < most_rounds; ++round)
     {
-        if (m_session->has_left_unseen())
+        if (m_session->check_disconnected())
             co_return;
         const bool is_kept_back = co_await is_quarantined();
         if (is_kept_back)
@@ -240,7 +240,7 @@
     http_request sent;
     // The fields hold method and path too, so they are assigned first.
     static_cast<http_fields&>(sent.base()) =
-        m_context.speech.forwarded(m_request, marks_for(*target));
+        m_context.speech.forwarded_fields(m_request, marks_for(*target));
     sent.method_string(m_request.method_string());
     sent.target(m_request.target());
     sent.body() = m_request.body();
@@ -257,7 +257,7 @@
                                      m_context.now());
     }
     attempt_end end = attempt_end::given_up;
-    if (m_session->has_left())
+    if (m_session->has_disconnected())
     {
         m_call->abort();
         m_context.standing.note_left(id);
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -103,7 +103,7 @@
     std::vector<const decision::listed_target*> open_targets();
     bool is_wholly_evacuated(bool needs_stages) const;
     bool may_wait_for_cold() const;
-    send_marks marks_for(const decision::listed_target& target);
+    forwarding_metadata marks_for(const decision::listed_target& target);
     duration patience() const;
     void note_begun(const decision::target_start& target);
     void note_ended(const decision::target_start& target);
@@ -122,7 +122,7 @@
     entry_context& m_context;
     std::shared_ptr<caller_session> m_session;
     http_request m_request;
-    request_facts m_facts;
+    request_metadata m_facts;
     mutable std::optional<decision::digest> m_content;
     catalog::catalog_ptr m_catalog;
     const catalog::route* m_route = nullptr;
--- a/packages/serving/exchange_admission.cpp
+++ b/packages/serving/exchange_admission.cpp
@@ -34,7 +34,7 @@
 awaitable<void> exchange::wait_at_start(std::function<bool()> is_there)
 {
     while (!is_there() && m_context.now() < m_context.requests_wait_until &&
-           !m_session->has_left())
+           !m_session->has_disconnected())
         co_await wait_a_moment();
 }
 
@@ -43,17 +43,17 @@
     constexpr duration step = std::chrono::milliseconds(10);
     loop_timer timer(m_context.loop, step);
     error_code ignored; // Nobody cancels it.
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(store_error_in(ignored));
 }
 
 bool exchange::admit()
 {
     try
     {
-        m_facts = m_context.speech.facts(m_request);
-        check_facts(m_facts);
+        m_facts = m_context.speech.parse_request(m_request);
+        validate_request(m_facts);
     }
-    catch (const facts_error& fault)
+    catch (const invalid_message& fault)
     {
         runtime::event("request_unreadable")
             .with("request", m_facts.id)
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -36,7 +36,7 @@
 {
     const unsigned status = call.head().result_int();
     m_answered = status;
-    const bool is_sound = call.facts().is_sealed && call.facts().is_plain;
+    const bool is_sound = call.facts().is_signed && call.facts().is_unencoded;
     if (is_success(status) && !is_sound)
     {
         m_refusal = refusal::answer_spoiled;
@@ -53,7 +53,7 @@
     while (!call.is_complete())
     {
         const auto got = co_await call.more(left());
-        if (m_session->has_left())
+        if (m_session->has_disconnected())
         {
             call.abort();
             co_return attempt_end::given_up;
@@ -89,8 +89,8 @@
     }
     m_first_at = m_context.now();
     const std::string body = call.take_body();
-    co_await m_session->send_answer(
-        status, m_context.speech.returned(call.head()), body);
+    co_await m_session->send_response(
+        status, m_context.speech.returned_fields(call.head()), body);
     co_return attempt_end::answered;
 }
 
@@ -99,11 +99,11 @@
     std::string bytes;
     if (!m_is_head_sent)
     {
-        http_fields fields = m_context.speech.returned(call.head());
+        http_fields fields = m_context.speech.returned_fields(call.head());
         fields.set(http::field::transfer_encoding, "chunked");
         if (!m_session->stays_open())
             fields.set(http::field::connection, "close");
-        bytes = head_bytes(call.head().result_int(), fields);
+        bytes = serialize_head(call.head().result_int(), fields);
         m_is_head_sent = true;
     }
     bytes += chunk_of(events);
@@ -146,7 +146,7 @@
                 if (m_stages)
                     m_stages->release();
             }
-            m_last_event = events.last();
+            m_last_event = events.last_id();
             if (!co_await send_events(call, std::move(whole)))
             {
                 call.abort();
@@ -156,7 +156,7 @@
         if (call.is_complete())
             break;
         const auto got = co_await call.more(left());
-        if (m_session->has_left())
+        if (m_session->has_disconnected())
         {
             call.abort();
             co_return attempt_end::given_up;
@@ -187,7 +187,7 @@
         times.answer.add(m_context.now() - m_sent_at);
     }
     if (!co_await m_session->send("0\r\n\r\n"))
-        m_session->close_after();
+        m_session->close_after_response();
     co_return attempt_end::answered;
 }
 
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -15,7 +15,7 @@
         co_return false;
     judge_content();
     while (m_verdict.how == admission::held && !is_over() &&
-           !m_session->has_left_unseen())
+           !m_session->check_disconnected())
     {
         co_await wait_a_moment();
         judge_content();
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -92,7 +92,7 @@
     if (m_is_head_sent)
     {
         // An answer that began and cannot end must not look complete.
-        m_session->break_off();
+        m_session->reset_connection();
         log_end(0);
         co_return;
     }
@@ -100,13 +100,13 @@
     http_fields fields;
     fields.set(http::field::content_type, "application/json");
     if (!m_facts.id.empty())
-        for (const auto& one : m_context.speech.echo(m_facts.id))
+        for (const auto& one : m_context.speech.request_id_fields(m_facts.id))
             fields.set(one.name_string(), one.value());
     if (status == 503)
         fields.set(http::field::retry_after, back_after());
     log_end(status);
     m_context.count("requests_refused", "why", to_string(m_refusal));
-    co_await m_session->send_answer(
+    co_await m_session->send_response(
         status, std::move(fields),
         R"({"error":")" + std::string(to_string(m_refusal)) + "\"}");
 }
@@ -128,7 +128,7 @@
         .with("sent_ms", ms_to(m_sent_at))
         .with("first_ms", ms_to(m_first_at))
         .with("end_ms", ms_to(m_context.now()))
-        .with("tokens", m_facts.most_tokens_out)
+        .with("tokens", m_facts.max_output_tokens)
         .with("stages_done", m_stages_done)
         .with("begun_late", m_is_begun_late ? 1 : 0)
         .with("catalog", m_catalog->version())
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -66,7 +66,7 @@
             m_began + m_route->aim - engine.first.mean_plus(1),
             std::min(stages_end() - engine.first.mean(), last_send()));
         end = co_await m_stages->run();
-        if (m_session->has_left_unseen())
+        if (m_session->check_disconnected())
             co_return false;
         m_stages_at = m_context.now();
         m_is_begun_late = m_stages->is_late();
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -80,7 +80,8 @@
 {
     m_alone_until = m_context.now() + longest_wait_alone;
     const auto* target = choose_target();
-    while (target == nullptr && !is_over() && !m_session->has_left_unseen() &&
+    while (target == nullptr && !is_over() &&
+           !m_session->check_disconnected() &&
            ((m_is_trial && m_context.now() < m_alone_until) ||
             may_wait_for_cold()))
     {
@@ -90,9 +91,9 @@
     co_return target;
 }
 
-send_marks exchange::marks_for(const decision::listed_target& target)
+forwarding_metadata exchange::marks_for(const decision::listed_target& target)
 {
-    send_marks marks;
+    forwarding_metadata marks;
     marks.target_id = target.start.id;
     marks.budget = left();
     if (m_account != nullptr)
--- a/packages/serving/frame_socket.cpp
+++ b/packages/serving/frame_socket.cpp
@@ -118,7 +118,7 @@
         }
         error_code fault;
         const std::size_t count = co_await m_socket.async_read_some(
-            asio::buffer(m_chunk), into(fault));
+            asio::buffer(m_chunk), store_error_in(fault));
         if (fault)
             break;
         m_received.append(m_chunk.data(), count);
--- a/packages/serving/gatherer.cpp
+++ b/packages/serving/gatherer.cpp
@@ -95,14 +95,14 @@
     while (auto plan = one.planner.next_call(m_context.now(), m_outlook))
     {
         note_begun(one, *plan);
-        start(m_context.loop, call(service, std::move(*plan)));
+        spawn(m_context.loop, call(service, std::move(*plan)));
     }
 }
 
-std::vector<piece_order>
+std::vector<piece_task>
 gatherer::orders(const line& one, const decision::planned_call& plan) const
 {
-    std::vector<piece_order> found;
+    std::vector<piece_task> found;
     const instant now = m_context.now();
     for (const decision::piece_ref& ref : plan.pieces)
     {
@@ -110,7 +110,7 @@
         if (job == nullptr)
             continue;
         found.push_back({job->request, job->stage, ref.piece,
-                         until(job->expires, now), job->key, job->inputs});
+                         time_until(job->expires, now), job->key, job->inputs});
     }
     return found;
 }
@@ -137,7 +137,7 @@
 {
     loop_timer timer(m_context.loop, after);
     error_code ignored; // Nobody cancels it.
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(store_error_in(ignored));
     line& one = *m_lines.at(service);
     for (const decision::piece_ref& ref : plan.pieces)
     {
@@ -165,9 +165,9 @@
         m_context.links, m_context.speech,
         call_target{target->start, runtime::address::parse(target->address)});
     const http_request request =
-        m_context.speech.make_pieces(plan.target.id, orders(one, plan));
+        m_context.speech.make_pieces_request(plan.target.id, orders(one, plan));
     const duration most = plan.expected_time * most_times + most_more;
-    start(m_context.loop, note_fetched(service, plan, fetch_time(one, plan)));
+    spawn(m_context.loop, note_fetched(service, plan, fetch_time(one, plan)));
     auto got = co_await sent->begin(request, {}, most);
     while (got == target_call::state::good && !sent->is_complete())
         got = co_await sent->more(most);
@@ -181,10 +181,11 @@
         note_alive(m_context, plan.target, sent->opened_at());
         try
         {
-            take_results(one, plan,
-                         m_context.speech.piece_results(sent->take_body()));
+            take_results(
+                one, plan,
+                m_context.speech.parse_piece_results(sent->take_body()));
         }
-        catch (const facts_error& fault)
+        catch (const invalid_message& fault)
         {
             runtime::event("call_unreadable")
                 .with("target", plan.target.id)
@@ -250,7 +251,7 @@
             m_context.links, m_context.speech,
             call_target{maker, runtime::address::parse(where)});
         auto got = co_await sent->begin(
-            m_context.speech.release_results(handles), {}, most_more);
+            m_context.speech.make_release_request(handles), {}, most_more);
         while (got == target_call::state::good && !sent->is_complete())
             got = co_await sent->more(most_more);
         if (got != target_call::state::good)
@@ -268,7 +269,7 @@
     {
         error_code ignored; // Nobody cancels it.
         timer.expires_after(tick);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         for (const auto& [service, said] : waits())
             note_wait(service, said);
         for (auto& [service, one] : m_lines)
@@ -279,7 +280,7 @@
                 pump(service, *one);
             }
             if (!one->to_release.empty())
-                start(m_context.loop, send_releases(service));
+                spawn(m_context.loop, send_releases(service));
         }
         if (m_context.now() < m_summarized_at + summary_interval)
             continue;
--- a/packages/serving/gatherer.hpp
+++ b/packages/serving/gatherer.hpp
@@ -112,8 +112,8 @@
                  bool was_late = false);
     void end_finished(const std::string& service, line& one);
     void end_unwanted(const std::string& service, line& one);
-    std::vector<piece_order> orders(const line& one,
-                                    const decision::planned_call& plan) const;
+    std::vector<piece_task> orders(const line& one,
+                                   const decision::planned_call& plan) const;
     awaitable<void> send_releases(std::string service);
     void summarize(const std::string& service, line& one);
 
--- a/packages/serving/gatherer_results.cpp
+++ b/packages/serving/gatherer_results.cpp
@@ -25,29 +25,29 @@
     for (std::size_t index = 0; index < results.size(); ++index)
     {
         const decision::piece_ref& ref = plan.pieces[index];
-        switch (results[index].what)
+        switch (results[index].status)
         {
-        case piece_result::kind::made:
+        case piece_result::status_code::succeeded:
             one.planner.note_piece_made(ref, plan.target, results[index].handle,
                                         now);
             if (one.planner.find(ref.job) == nullptr)
                 let_go(one, results[index].handle);
             break;
-        case piece_result::kind::no_room:
+        case piece_result::status_code::memory_full:
             m_context.count("pieces_lost", "why", "room");
             ++one.no_room;
             one.planner.note_memory_full(plan.target, now);
             one.planner.requeue_piece(ref);
             break;
-        case piece_result::kind::failed:
+        case piece_result::status_code::failed:
             m_context.count("pieces_lost", "why", "failed");
             one.planner.requeue_piece(ref);
             break;
-        case piece_result::kind::late:
+        case piece_result::status_code::expired:
             m_context.count("pieces_lost", "why", "late");
             give_up(one, ref, decision::job_status::expired);
             break;
-        case piece_result::kind::gone:
+        case piece_result::status_code::input_lost:
             m_context.count("pieces_lost", "why", "gone");
             give_up(one, ref, decision::job_status::input_lost);
             break;
@@ -66,7 +66,7 @@
 
 void gatherer::let_go(line& one, const std::string& handle)
 {
-    one.to_release[m_context.speech.maker_of(handle)].push_back(handle);
+    one.to_release[m_context.speech.producer_address(handle)].push_back(handle);
 }
 
 // A full target ran nothing, so nothing was lost. Counted as losses, three
--- a/packages/serving/http.cpp
+++ b/packages/serving/http.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-std::string to_bytes(const http_request& request, const std::string& host)
+std::string serialize(const http_request& request, const std::string& host)
 {
     std::string out;
     constexpr std::size_t typical_head_size = 1024;
@@ -52,7 +52,7 @@
     return out;
 }
 
-std::string head_bytes(unsigned status, const http_fields& fields)
+std::string serialize_head(unsigned status, const http_fields& fields)
 {
     std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
     append(out, view(http::obsolete_reason(http::int_to_status(status))));
@@ -62,18 +62,18 @@
     return out;
 }
 
-bool is_of_connection(std::string_view name)
+bool is_hop_by_hop(std::string_view name)
 {
     static constexpr std::array<std::string_view, 10> names{
         "connection",        "keep-alive",     "proxy-connection",
         "transfer-encoding", "content-length", "te",
         "trailer",           "upgrade",        "expect",
         "proxy-authenticate"};
-    const std::string lower_name = lower(name);
+    const std::string lower_name = to_lower(name);
     return std::find(names.begin(), names.end(), lower_name) != names.end();
 }
 
-std::string lower(std::string_view text)
+std::string to_lower(std::string_view text)
 {
     std::string result(text);
     std::transform(result.begin(), result.end(), result.begin(),
--- a/packages/serving/http.hpp
+++ b/packages/serving/http.hpp
@@ -17,8 +17,8 @@
 
 using http_fields = http::fields;
 using http_request = http::request<http::string_body>;
-using http_answer = http::response<http::string_body>;
-using http_answer_head = http::response_header<>;
+using http_response = http::response<http::string_body>;
+using http_response_head = http::response_header<>;
 
 /// Returns \a text as a standard string view.
 inline std::string_view view(boost::beast::string_view text)
@@ -28,16 +28,16 @@
 
 /// Returns the bytes of \a request, with a Content-Length header if it has a
 /// body. \a host becomes the Host header if the request has none.
-std::string to_bytes(const http_request& request, const std::string& host);
+std::string serialize(const http_request& request, const std::string& host);
 
 /// Returns the bytes of a response's status line and header \a fields.
-std::string head_bytes(unsigned status, const http_fields& fields);
+std::string serialize_head(unsigned status, const http_fields& fields);
 
 /// Whether \a name is a hop-by-hop header field: it concerns one connection
 /// only and must not be forwarded.
-bool is_of_connection(std::string_view name);
+bool is_hop_by_hop(std::string_view name);
 
 /// Returns \a text in lower case.
-std::string lower(std::string_view text);
+std::string to_lower(std::string_view text);
 
 } // namespace mangofold::serving
--- a/packages/serving/facts.cpp
+++ b/packages/serving/message_metadata.cpp
@@ -1,4 +1,4 @@
-#include "serving/facts.hpp"
+#include "serving/message_metadata.hpp"
 
 #include <algorithm>
 
@@ -23,20 +23,20 @@
 
 } // namespace
 
-void check_facts(const request_facts& facts)
+void validate_request(const request_metadata& metadata)
 {
     // The id and the key are written to text-only messages. If one of them
     // could not be encoded, the call would fail for the pieces of other
     // requests too.
-    if (!is_visible(facts.id))
-        throw facts_error(
+    if (!is_visible(metadata.id))
+        throw invalid_message(
             "request id has bytes that are not visible characters");
-    if (!is_visible(facts.piece_key))
-        throw facts_error(
+    if (!is_visible(metadata.piece_key))
+        throw invalid_message(
             "piece key has bytes that are not visible characters");
-    if (std::any_of(facts.pieces.begin(), facts.pieces.end(),
+    if (std::any_of(metadata.pieces.begin(), metadata.pieces.end(),
                     [](std::uint32_t count) { return count > max_pieces; }))
-        throw facts_error("stage has more pieces than the limit");
+        throw invalid_message("stage has more pieces than the limit");
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/facts.hpp
+++ b/packages/serving/message_metadata.hpp
@@ -13,7 +13,7 @@
 
 /// An HTTP message or stored document that cannot be parsed or is not valid.
 /// The error text is returned to the sender of a request.
-class facts_error : public std::runtime_error
+class invalid_message : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
@@ -21,16 +21,17 @@
 
 /// A part of a prompt that other requests may share, for example in a target's
 /// prefix cache.
-struct prompt_part
+struct prompt_segment
 {
     std::string id;
     std::uint32_t tokens = 0;
 
-    friend bool operator==(const prompt_part&, const prompt_part&) = default;
+    friend bool operator==(const prompt_segment&,
+                           const prompt_segment&) = default;
 };
 
 /// Metadata of a caller's request, as read from its headers.
-struct request_facts
+struct request_metadata
 {
     std::string id;
     std::string host;               ///< Lower case, without a port.
@@ -38,23 +39,23 @@
     std::optional<duration> budget; ///< Time in which the caller expects
                                     ///< the response.
     std::optional<std::string> key; ///< API key.
-    std::vector<prompt_part> prompt;
-    std::uint32_t tokens_in = 0;
-    std::uint32_t most_tokens_out = 0;
+    std::vector<prompt_segment> prompt;
+    std::uint32_t input_tokens = 0;
+    std::uint32_t max_output_tokens = 0;
     std::vector<std::uint32_t> pieces; ///< Number of pieces of each stage.
     std::string piece_key; ///< Input of the stages that have no predecessor.
     std::string last_event_id; ///< Of a stream that the caller resumes.
 
-    friend bool operator==(const request_facts&,
-                           const request_facts&) = default;
+    friend bool operator==(const request_metadata&,
+                           const request_metadata&) = default;
 };
 
-/// Throws facts_error if \a facts hold values that no request may have,
-/// whichever dialect they were read with.
-void check_facts(const request_facts& facts);
+/// Throws invalid_message if \a metadata has a value that no request may have,
+/// whichever dialect it was read with.
+void validate_request(const request_metadata& metadata);
 
 /// Metadata that this system adds to a request to a target.
-struct send_marks
+struct forwarding_metadata
 {
     std::string target_id;
     duration budget{};
@@ -64,48 +65,50 @@
     std::optional<unsigned> priority;         ///< From 0, highest, to 9.
     std::optional<std::string> last_event_id; ///< To resume after.
 
-    friend bool operator==(const send_marks&, const send_marks&) = default;
+    friend bool operator==(const forwarding_metadata&,
+                           const forwarding_metadata&) = default;
 };
 
 /// Metadata of a target's response, as read from its headers.
-struct answer_facts
+struct response_metadata
 {
     std::string id;           ///< Id of the request; may be empty.
     bool has_not_run = false; ///< The target did not execute the request.
-    bool is_sealed = false;   ///< Has the target's signature.
-    bool is_plain = true;     ///< Has no content encoding.
-    std::optional<duration> idle_time; ///< For which the target keeps an idle
-                                       ///< connection open.
+    bool is_signed = false;   ///< Has the target's signature.
+    bool is_unencoded = true; ///< Has no content encoding.
+    std::optional<duration> keep_alive_timeout; ///< For which the target keeps
+                                                ///< an idle connection open.
 
-    friend bool operator==(const answer_facts&, const answer_facts&) = default;
+    friend bool operator==(const response_metadata&,
+                           const response_metadata&) = default;
 };
 
 /// One piece of a stage for a target to execute.
-struct piece_order
+struct piece_task
 {
-    std::string request; ///< Id of the request.
+    std::string request_id;
     std::uint32_t stage = 0;
     std::uint32_t piece = 0;
-    duration left{};                 ///< Time left until the piece expires.
+    duration time_left{};            ///< Time left until the piece expires.
     std::string key;                 ///< Used if the piece has no inputs.
     std::vector<std::string> inputs; ///< Handles of the results it needs.
 
-    friend bool operator==(const piece_order&, const piece_order&) = default;
+    friend bool operator==(const piece_task&, const piece_task&) = default;
 };
 
 /// The outcome of one piece at a target.
 struct piece_result
 {
-    enum class kind : std::uint8_t
+    enum class status_code : std::uint8_t
     {
-        made,
-        late,    ///< The piece expired.
-        gone,    ///< An input of the piece was lost.
-        no_room, ///< The target had no memory for the result.
+        succeeded,
+        expired,     ///< The piece expired.
+        input_lost,  ///< An input of the piece was lost.
+        memory_full, ///< The target had no memory for the result.
         failed
     };
 
-    kind what = kind::failed;
+    status_code status = status_code::failed;
     std::string handle; ///< Of the result, if it was made.
 
     friend bool operator==(const piece_result&, const piece_result&) = default;
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -59,7 +59,7 @@
     error_code fault;
     const tcp::endpoint there(asio::ip::make_address_v4(where.host),
                               where.port);
-    co_await socket->async_connect(there, into(fault));
+    co_await socket->async_connect(there, store_error_in(fault));
     guard.cancel();
     if (fault || !socket->is_open())
         co_return false;
@@ -87,7 +87,7 @@
             ask_again();
             m_is_silent = false;
             const instant began = m_context.now();
-            start(m_context.loop, ping());
+            spawn(m_context.loop, ping());
             co_await listen();
             is_connected = false;
             if (may_be_back(began))
@@ -98,7 +98,7 @@
         }
         loop_timer timer(m_context.loop, pause);
         error_code ignored; // Nobody cancels it.
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         pause = std::min(pause + pause / 4, longest_retry_pause);
     }
 }
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -52,7 +52,7 @@
     auto link = std::make_shared<peer_link>(m_context, *this, address);
     m_links[address] = link;
     m_added_at[address] = m_context.now();
-    start(m_context.loop, link->run());
+    spawn(m_context.loop, link->run());
 }
 
 peer_link* peer_mesh::gathering(const std::string& service)
@@ -301,7 +301,7 @@
             add(one.text());
         error_code ignored; // Nobody cancels it.
         timer.expires_after(tick);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         forget_lost();
         update_services();
         m_context.entries_answering = m_roster.size();
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -30,9 +30,10 @@
     for (;;)
     {
         error_code fault;
-        tcp::socket socket = co_await m_acceptor.async_accept(into(fault));
+        tcp::socket socket =
+            co_await m_acceptor.async_accept(store_error_in(fault));
         if (!fault)
-            start(m_context.loop,
+            spawn(m_context.loop,
                   serve(std::make_shared<frame_socket>(std::move(socket))));
     }
 }
--- a/packages/serving/request_server.cpp
+++ b/packages/serving/request_server.cpp
@@ -31,7 +31,8 @@
     for (;;)
     {
         error_code fault;
-        tcp::socket socket = co_await m_acceptor.async_accept(into(fault));
+        tcp::socket socket =
+            co_await m_acceptor.async_accept(store_error_in(fault));
         if (fault)
         {
             // The usual cause is a lack of file descriptors; some may be closed
@@ -40,7 +41,7 @@
                 .with("fault", fault.message())
                 .warn();
             loop_timer timer(m_context.loop, duration(10000000));
-            co_await timer.async_wait(into(fault));
+            co_await timer.async_wait(store_error_in(fault));
             continue;
         }
         auto session = std::make_shared<caller_session>(
@@ -50,7 +51,7 @@
             std::erase_if(m_sessions,
                           [](const auto& weak) { return weak.expired(); });
         m_sessions.push_back(session);
-        start(m_context.loop, run_session(std::move(session)));
+        spawn(m_context.loop, run_session(std::move(session)));
     }
 }
 
@@ -65,12 +66,12 @@
     catch (const std::exception& fault)
     {
         runtime::event("session_failed").with("fault", fault.what()).error();
-        session->break_off();
+        session->reset_connection();
     }
     --m_connections;
 }
 
-awaitable<void> request_server::answer(std::shared_ptr<caller_session> session,
+awaitable<void> request_server::handle(std::shared_ptr<caller_session> session,
                                        http_request request)
 {
     ++m_in_progress;
@@ -95,14 +96,14 @@
                              : catalog::caller_limits{};
 }
 
-void request_server::end_unsent()
+void request_server::reject_unsent()
 {
     for (const auto& weak : m_sessions)
         if (const auto session = weak.lock())
-            session->note_ending();
+            session->note_shutdown();
 }
 
-void request_server::close_idle()
+void request_server::close_idle_connections()
 {
     for (const auto& weak : m_sessions)
         if (const auto session = weak.lock())
--- a/packages/serving/request_server.hpp
+++ b/packages/serving/request_server.hpp
@@ -19,11 +19,11 @@
     /// Accepts connections until the event loop stops.
     awaitable<void> run();
 
-    awaitable<void> answer(std::shared_ptr<caller_session> session,
+    awaitable<void> handle(std::shared_ptr<caller_session> session,
                            http_request request) override;
     catalog::caller_limits limits() const override;
     bool is_stopping() const override { return m_context.is_stopping(); }
-    duration lateness() const override
+    duration loop_lag() const override
     {
         return m_context.lateness.lag(m_context.now());
     }
@@ -38,11 +38,11 @@
     std::size_t connections() const { return m_connections; }
 
     /// Closes the connections on which no request is being read or handled.
-    void close_idle();
+    void close_idle_connections();
 
     /// Rejects the requests that were not sent to a target yet, since this
     /// process is about to end.
-    void end_unsent();
+    void reject_unsent();
 
 private:
     awaitable<void> run_session(std::shared_ptr<caller_session> session);
--- a/packages/serving/settings_keeper.cpp
+++ b/packages/serving/settings_keeper.cpp
@@ -93,7 +93,7 @@
                     m_hangup.cancel();
             });
         error_code fault;
-        co_await m_hangup.async_wait(into(fault));
+        co_await m_hangup.async_wait(store_error_in(fault));
         timer.cancel();
         read_again(fault ? "interval" : "signal");
     }
--- a/packages/serving/signal_point.hpp
+++ b/packages/serving/signal_point.hpp
@@ -32,7 +32,7 @@
     {
         error_code ignored; // Cancelled by raise(), which is no error here.
         m_timer.expires_after(most);
-        co_await m_timer.async_wait(into(ignored));
+        co_await m_timer.async_wait(store_error_in(ignored));
     }
     co_return std::exchange(m_is_raised, false);
 }
--- a/packages/serving/source.hpp
+++ b/packages/serving/source.hpp
@@ -79,7 +79,7 @@
     virtual http_request watch(std::uint64_t revision, duration most) const = 0;
     virtual source_page changes_page(std::string_view body) const = 0;
 
-    /// Returns the catalog in what was written. Throws facts_error.
+    /// Returns the catalog in what was written. Throws invalid_message.
     virtual catalog::document parse_catalog(std::string_view text) const = 0;
 };
 
--- a/packages/serving/source_reader.cpp
+++ b/packages/serving/source_reader.cpp
@@ -65,7 +65,7 @@
         m_context.catalog =
             std::make_shared<catalog::catalog_index>(std::move(read));
     }
-    catch (const facts_error& fault)
+    catch (const invalid_message& fault)
     {
         runtime::event("catalog_unreadable")
             .with("from", from)
@@ -94,7 +94,7 @@
                 static_cast<double>(call.received_bytes()) / least_rate));
         const instant end = began + most + earned;
         const std::size_t before = call.received_bytes();
-        const duration left = until(end, m_context.now());
+        const duration left = time_until(end, m_context.now());
         got = co_await call.more(std::clamp(left, duration(1), longest_gap));
         if (call.received_bytes() > before)
             m_received_at = m_context.now();
@@ -276,7 +276,7 @@
 {
     loop_timer timer(m_context.loop, time);
     error_code ignored; // Nobody cancels it.
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(store_error_in(ignored));
 }
 
 awaitable<void> source_reader::pause()
@@ -312,7 +312,7 @@
             else
                 is_good = co_await read_next();
         }
-        catch (const facts_error& fault)
+        catch (const invalid_message& fault)
         {
             runtime::event("source_unreadable")
                 .with("fault", fault.what())
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 stage_runner::stage_runner(entry_context& context, const catalog::route& route,
-                           const request_facts& facts,
+                           const request_metadata& facts,
                            const decision::digest& content, std::string zone,
                            duration yields, instant due, instant expires)
     : m_context(context), m_route(route), m_facts(facts), m_content(content),
@@ -106,7 +106,8 @@
         const auto& handles = m_states.at(one).handles;
         if (handles.empty())
             continue;
-        const std::string where = m_context.speech.maker_of(handles.front());
+        const std::string where =
+            m_context.speech.producer_address(handles.front());
         for (const auto* maker :
              m_context.directory.serving(m_route.stages[one].service))
             if (maker->address == where)
@@ -275,7 +276,7 @@
         const auto& makers = m_context.directory.serving(stage.service);
         for (const std::string& handle : m_states[index].handles)
         {
-            const std::string where = m_context.speech.maker_of(handle);
+            const std::string where = m_context.speech.producer_address(handle);
             for (const auto* maker : makers)
                 if (maker->address == where)
                     bytes[maker->zone] += stage.result_bytes;
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -18,7 +18,7 @@
 {
 public:
     stage_runner(entry_context& context, const catalog::route& route,
-                 const request_facts& facts, const decision::digest& content,
+                 const request_metadata& facts, const decision::digest& content,
                  std::string zone, duration yields, instant due,
                  instant expires);
     stage_runner(const stage_runner&) = delete;
@@ -81,7 +81,7 @@
 
     entry_context& m_context;
     const catalog::route& m_route;
-    const request_facts& m_facts;
+    const request_metadata& m_facts;
     decision::digest m_content;
     std::string m_zone; ///< Where the request itself will probably run.
     duration m_yields;
--- a/packages/serving/status_server.cpp
+++ b/packages/serving/status_server.cpp
@@ -20,9 +20,10 @@
     for (;;)
     {
         error_code fault;
-        tcp::socket socket = co_await m_acceptor.async_accept(into(fault));
+        tcp::socket socket =
+            co_await m_acceptor.async_accept(store_error_in(fault));
         if (!fault)
-            start(m_context.loop, serve(std::move(socket)));
+            spawn(m_context.loop, serve(std::move(socket)));
     }
 }
 
@@ -47,7 +48,7 @@
             if (reading.is_done())
                 break;
             const std::size_t count = co_await socket.async_read_some(
-                asio::buffer(chunk), into(fault));
+                asio::buffer(chunk), store_error_in(fault));
             if (fault || received.size() > most_bytes)
                 co_return;
             received.append(chunk.data(), count);
@@ -57,9 +58,11 @@
         fields.set(http::field::content_type, "text/plain");
         fields.set(http::field::content_length,
                    std::to_string(said.body.size()));
-        const std::string bytes = head_bytes(said.status, fields) + said.body;
+        const std::string bytes =
+            serialize_head(said.status, fields) + said.body;
         error_code fault;
-        co_await asio::async_write(socket, asio::buffer(bytes), into(fault));
+        co_await asio::async_write(socket, asio::buffer(bytes),
+                                   store_error_in(fault));
         if (fault || !reading.keep_alive())
             co_return;
     }
--- a/packages/serving/target_call.cpp
+++ b/packages/serving/target_call.cpp
@@ -61,7 +61,7 @@
     m_has_no_body = request.method() == http::verb::head;
     if (co_await connect(most) != state::good)
         co_return state::not_sent;
-    m_connection->send(to_bytes(request, m_target.where.text()));
+    m_connection->send(serialize(request, m_target.where.text()));
     fresh_parser();
     co_return co_await read_head(most);
 }
@@ -85,7 +85,7 @@
             fresh_parser();
             continue;
         }
-        m_facts = m_dialect.answer(m_parser->get());
+        m_facts = m_dialect.parse_response(m_parser->get());
         if (!is_stray())
             co_return state::good;
         const state passed = co_await pass_over_stray(most);
@@ -171,9 +171,10 @@
         return abort();
     // Half of what the target says, so that a request never crosses the
     // target's own closing of the connection.
-    const duration idle = m_facts.idle_time
-                              ? std::min(*m_facts.idle_time / 2, most_idle_time)
-                              : unsaid_idle_time;
+    const duration idle =
+        m_facts.keep_alive_timeout
+            ? std::min(*m_facts.keep_alive_timeout / 2, most_idle_time)
+            : unsaid_idle_time;
     m_links.give_back(m_target.start, std::move(m_connection), idle);
     m_connection.reset();
 }
--- a/packages/serving/target_call.hpp
+++ b/packages/serving/target_call.hpp
@@ -46,8 +46,8 @@
     /// Reads more of the answer's body, if it is not complete.
     awaitable<state> more(duration most);
 
-    const http_answer_head& head() const { return m_parser->get(); }
-    const answer_facts& facts() const { return m_facts; }
+    const http_response_head& head() const { return m_parser->get(); }
+    const response_metadata& facts() const { return m_facts; }
 
     /// Returns the part of the body that has come and was not taken.
     std::string take_body();
@@ -88,7 +88,7 @@
     call_target m_target;
     connection_ptr m_connection;
     std::optional<parser> m_parser;
-    answer_facts m_facts;
+    response_metadata m_facts;
     std::string m_id;
     bool m_has_no_body = false; ///< A HEAD request.
     bool m_is_aborted = false;
--- a/packages/serving/target_connection.cpp
+++ b/packages/serving/target_connection.cpp
@@ -46,7 +46,7 @@
         co_return state::broken;
     limit(most);
     const tcp::endpoint there(ip, to.port);
-    co_await m_socket.async_connect(there, into(fault));
+    co_await m_socket.async_connect(there, store_error_in(fault));
     if (!fault)
     {
         error_code ignored; // Without it small writes only wait longer.
@@ -74,8 +74,8 @@
     const auto keep = shared_from_this();
     error_code fault;
     limit(most);
-    const std::size_t count =
-        co_await m_socket.async_read_some(asio::buffer(m_chunk), into(fault));
+    const std::size_t count = co_await m_socket.async_read_some(
+        asio::buffer(m_chunk), store_error_in(fault));
     m_received.append(m_chunk.data(), count);
     co_return conclude(fault);
 }
--- a/tests/platform/dialect_test.cpp
+++ b/tests/platform/dialect_test.cpp
@@ -2,7 +2,7 @@
 #include "platform/request_dialect.hpp"
 #include "platform/settings_reader.hpp"
 #include "platform/store_dialect.hpp"
-#include "serving/facts.hpp"
+#include "serving/message_metadata.hpp"
 
 #include <doctest/doctest.h>
 
@@ -87,37 +87,38 @@
          {"", "{", "[]", "{\"version\":\"x\"}",
           "{\"version\":1,\"routes\":[{\"host\":\"h\",\"prefix\":\"/\"}],"
           "\"backends\":[]}"})
-        CHECK_THROWS_AS(platform::read_catalog(text), serving::facts_error);
+        CHECK_THROWS_AS(platform::read_catalog(text), serving::invalid_message);
 }
 
 TEST_CASE("what a caller's request says is read")
 {
-    const auto facts = platform::request_dialect().facts(caller_request());
+    const auto facts =
+        platform::request_dialect().parse_request(caller_request());
     CHECK(facts.id == "9c41");
     CHECK(facts.host == "jepu9.example");
     CHECK(facts.path == "/a/2f");
     CHECK(facts.budget == 1500ms);
     CHECK(facts.key == "secret");
     REQUIRE(facts.prompt.size() == 3);
-    CHECK(facts.prompt[1] == serving::prompt_part{"91", 410});
-    CHECK(facts.most_tokens_out == 80);
+    CHECK(facts.prompt[1] == serving::prompt_segment{"91", 410});
+    CHECK(facts.max_output_tokens == 80);
     CHECK(facts.pieces == std::vector<std::uint32_t>{2, 0, 6});
     auto bad = caller_request();
     bad.set("X-Mangofold-Time-Budget-Ms", "soon");
-    CHECK_THROWS_AS(platform::request_dialect().facts(bad),
-                    serving::facts_error);
+    CHECK_THROWS_AS(platform::request_dialect().parse_request(bad),
+                    serving::invalid_message);
 }
 
 // Another account's name, or the caller's secret, reaches a target.
 TEST_CASE("a target sees the system's marks and not the caller's")
 {
-    serving::send_marks marks;
+    serving::forwarding_metadata marks;
     marks.target_id = "i-1";
     marks.budget = 900ms;
     marks.account = "t";
     marks.inputs = std::vector<std::string>{"a:1/x", "b:2/y"};
     const auto sent =
-        platform::request_dialect().forwarded(caller_request(), marks);
+        platform::request_dialect().forwarded_fields(caller_request(), marks);
     CHECK(sent["X-Mangofold-Target-Instance"] == "i-1");
     CHECK(sent["X-Mangofold-Time-Budget-Ms"] == "900");
     CHECK(sent["X-Mangofold-Tenant"] == "t");
@@ -131,41 +132,42 @@
 
 TEST_CASE("a target's answer is understood")
 {
-    serving::http_answer_head head;
+    serving::http_response_head head;
     head.result(421);
-    CHECK(platform::request_dialect().answer(head).has_not_run);
+    CHECK(platform::request_dialect().parse_response(head).has_not_run);
     head.result(503);
-    CHECK_FALSE(platform::request_dialect().answer(head).has_not_run);
+    CHECK_FALSE(platform::request_dialect().parse_response(head).has_not_run);
     head.set("X-Mangofold-Not-Executed", "1");
     head.set("Keep-Alive", "timeout=7");
     head.set("X-Mangofold-Response-Seal", "s");
-    const auto facts = platform::request_dialect().answer(head);
+    const auto facts = platform::request_dialect().parse_response(head);
     CHECK(facts.has_not_run);
-    CHECK(facts.is_sealed);
-    CHECK(facts.idle_time == 7s);
+    CHECK(facts.is_signed);
+    CHECK(facts.keep_alive_timeout == 7s);
 }
 
 TEST_CASE("calls of pieces and their results")
 {
     const platform::request_dialect speech;
-    const auto call = speech.make_pieces(
+    const auto call = speech.make_pieces_request(
         "i-9", {{"r1", 0, 2, 900ms, "key", {}}, {"r2", 2, 0, 1s, "", {"a/b"}}});
     CHECK(call.body() ==
           R"({"items":[{"id":"r1","key":"key","left_ms":900,"piece":2,)"
           R"("stage":0},{"id":"r2","inputs":["a/b"],"left_ms":1000,)"
           R"("piece":0,"stage":2}]})");
-    const auto results = speech.piece_results(
+    const auto results = speech.parse_piece_results(
         R"({"items":[{"handle":"a:1/x"},{"why":"gone"},{"why":"room"},)"
         R"({"why":"late"},{"why":"error"}]})");
-    using kind = serving::piece_result::kind;
+    using status_code = serving::piece_result::status_code;
     REQUIRE(results.size() == 5);
     CHECK(results[0].handle == "a:1/x");
-    CHECK(results[1].what == kind::gone);
-    CHECK(results[2].what == kind::no_room);
-    CHECK(results[3].what == kind::late);
-    CHECK(results[4].what == kind::failed);
-    CHECK_THROWS_AS(speech.piece_results("spoiled"), serving::facts_error);
-    CHECK(speech.maker_of("10.0.0.1:80/ab") == "10.0.0.1:80");
+    CHECK(results[1].status == status_code::input_lost);
+    CHECK(results[2].status == status_code::memory_full);
+    CHECK(results[3].status == status_code::expired);
+    CHECK(results[4].status == status_code::failed);
+    CHECK_THROWS_AS(speech.parse_piece_results("spoiled"),
+                    serving::invalid_message);
+    CHECK(speech.producer_address("10.0.0.1:80/ab") == "10.0.0.1:80");
 }
 
 TEST_CASE("the store's pages and changes are read")
@@ -201,7 +203,7 @@
     CHECK(changes.changes[1].what == kind::catalog);
     CHECK(changes.changes[1].catalog == "{}");
     CHECK(changes.changes[2].what == kind::other);
-    CHECK_THROWS_AS(store.targets_page("<html>"), serving::facts_error);
+    CHECK_THROWS_AS(store.targets_page("<html>"), serving::invalid_message);
 }
 
 TEST_CASE("evacuated zones are read with the catalog, and as they change")
--- a/tests/platform/outside_bytes_test.cpp
+++ b/tests/platform/outside_bytes_test.cpp
@@ -56,7 +56,7 @@
                                        "Authorization",
                                        "Last-Event-Id"};
 
-/// Whether \a read gives a value or says by facts_error that it cannot.
+/// Whether \a read gives a value or says by invalid_message that it cannot.
 template<typename Read>
 bool is_read_or_refused(Read read)
 {
@@ -65,7 +65,7 @@
         read();
         return true;
     }
-    catch (const serving::facts_error&)
+    catch (const serving::invalid_message&)
     {
         return true;
     }
@@ -83,9 +83,9 @@
     for (const char* name : {"X-Mangofold-Piece-Key", "X-Mangofold-Request-Id"})
     {
         for (const char* value : {"\xff\xfe", "a b", "a\x7f"})
-            CHECK_THROWS_AS(
-                serving::check_facts(speech.facts(request_with(name, value))),
-                serving::facts_error);
+            CHECK_THROWS_AS(serving::validate_request(speech.parse_request(
+                                request_with(name, value))),
+                            serving::invalid_message);
     }
 }
 
@@ -98,13 +98,13 @@
     const auto pieces = [&](const char* value)
     {
         const auto facts =
-            speech.facts(request_with("X-Mangofold-Pieces", value));
-        serving::check_facts(facts);
+            speech.parse_request(request_with("X-Mangofold-Pieces", value));
+        serving::validate_request(facts);
         return facts.pieces;
     };
-    CHECK_THROWS_AS(pieces("1,4000000000"), serving::facts_error);
-    CHECK_THROWS_AS(pieces("1,99999999999"), serving::facts_error);
-    CHECK_THROWS_AS(pieces("-1"), serving::facts_error);
+    CHECK_THROWS_AS(pieces("1,4000000000"), serving::invalid_message);
+    CHECK_THROWS_AS(pieces("1,99999999999"), serving::invalid_message);
+    CHECK_THROWS_AS(pieces("-1"), serving::invalid_message);
     CHECK(pieces("1,1000") == std::vector<std::uint32_t>{1, 1000});
 }
 
@@ -114,15 +114,15 @@
 TEST_CASE("an answer with an unreadable idle time is an answer")
 {
     const platform::request_dialect speech;
-    serving::http_answer answer{serving::http::status::ok, 11};
+    serving::http_response answer{serving::http::status::ok, 11};
     answer.set("X-Mangofold-Response-Seal", "s");
     for (const char* value : {"timeout=", "timeout=x", "timeout=-1",
                               "timeout=99999999999999999999", "\xff"})
     {
         answer.set("Keep-Alive", value);
-        const auto facts = speech.answer(answer.base());
-        CHECK(facts.is_sealed);
-        CHECK_FALSE(facts.idle_time);
+        const auto facts = speech.parse_response(answer.base());
+        CHECK(facts.is_signed);
+        CHECK_FALSE(facts.keep_alive_timeout);
     }
 }
 
@@ -138,14 +138,14 @@
             RC_ASSERT(is_read_or_refused(
                 [&]
                 {
-                    const auto facts = speech.facts(request);
-                    serving::check_facts(facts);
+                    const auto facts = speech.parse_request(request);
+                    serving::validate_request(facts);
                     // What is read can be told to a target.
-                    serving::piece_order order;
-                    order.request = facts.id;
+                    serving::piece_task order;
+                    order.request_id = facts.id;
                     order.key = facts.piece_key;
-                    speech.make_pieces("i-1", {order});
-                    speech.forwarded(request, {});
+                    speech.make_pieces_request("i-1", {order});
+                    speech.forwarded_fields(request, {});
                 }));
         }));
 }
@@ -157,22 +157,22 @@
         [&](const std::vector<char>& bytes)
         {
             RC_ASSERT(is_read_or_refused(
-                [&] { speech.piece_results(text_of(bytes)); }));
+                [&] { speech.parse_piece_results(text_of(bytes)); }));
         }));
     CHECK(rc::check(
         [&]
         {
-            serving::http_answer answer{serving::http::status::ok, 11};
+            serving::http_response answer{serving::http::status::ok, 11};
             for (const char* name :
                  {"Keep-Alive", "X-Mangofold-Request-Id", "Connection"})
                 answer.set(name, *header_value());
-            speech.answer(answer.base());
-            speech.returned(answer.base());
+            speech.parse_response(answer.base());
+            speech.returned_fields(answer.base());
         }));
     for (const char* body :
          {"{}", "[]", R"({"items":3})", R"({"items":[3]})",
           R"({"items":[{"handle":3}]})", R"({"items":[{"why":[]}]})"})
-        CHECK(is_read_or_refused([&] { speech.piece_results(body); }));
+        CHECK(is_read_or_refused([&] { speech.parse_piece_results(body); }));
 }
 
 namespace
--- a/tests/runtime/http_test.cpp
+++ b/tests/runtime/http_test.cpp
@@ -1,12 +1,12 @@
 #include "runtime/http_client.hpp"
 #include "runtime/http_server.hpp"
-#include "support/one_shot_server.hpp"
+#include "support/closing_server.hpp"
 
 #include <doctest/doctest.h>
 
 using namespace mangofold::runtime;
 using namespace std::chrono_literals;
-using mangofold::tests::one_shot_server;
+using mangofold::tests::closing_server;
 
 TEST_SUITE("http client")
 {
@@ -15,7 +15,7 @@
         // The target takes a redemption and dies before it answers. The HTTP
         // library must not connect again and send it a second time: the
         // target may have run it.
-        const one_shot_server server(0);
+        const closing_server server(0);
         http_client client({"127.0.0.1", server.port()});
         CHECK_THROWS_AS(client.post("/v1/run", "{}", 5s), http_error);
         CHECK(server.requests() == 1);
@@ -25,7 +25,7 @@
     {
         // A request that ends the target that begins it is lost with a kept
         // connection. Sent again on a new one, it ends the target twice.
-        const one_shot_server server(1);
+        const closing_server server(1);
         http_client client({"127.0.0.1", server.port()});
         CHECK(client.post("/v1/run", "{}", 5s).status == 200);
         CHECK_THROWS_AS(client.post("/v1/run", "{}", 5s), http_error);
@@ -34,7 +34,7 @@
 
     TEST_CASE("a call that got no answer is not called unsent")
     {
-        const one_shot_server server(0);
+        const closing_server server(0);
         http_client client({"127.0.0.1", server.port()});
         try
         {
@@ -51,7 +51,7 @@
     {
         std::uint16_t port = 0;
         {
-            const one_shot_server server(0);
+            const closing_server server(0);
             port = server.port();
         }
         http_client client({"127.0.0.1", port});
--- a/tests/serving/event_stream_test.cpp
+++ b/tests/serving/event_stream_test.cpp
@@ -12,7 +12,7 @@
     CHECK(events.add("\nid: 2\nda") == "id: 1\ndata: a\n\n");
     CHECK(events.add("ta: b\n\n") == "id: 2\ndata: b\n\n");
     CHECK(events.is_between_events());
-    CHECK(events.last() == 2);
+    CHECK(events.last_id() == 2);
 }
 
 // Guards against a caller's stream that misses an event or repeats one: a
@@ -36,5 +36,5 @@
     event_stream events;
     const std::string event = "version: 3\r\nid: 7\r\ndata: x\r\n\r\n";
     CHECK(events.add(event) == event);
-    CHECK(events.last() == 7);
+    CHECK(events.last_id() == 7);
 }
--- a/tests/serving/exchange_test.cpp
+++ b/tests/serving/exchange_test.cpp
@@ -22,8 +22,8 @@
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
-    const std::string got =
-        entry.ask(request("/once/x?y=1", "r1", "Other: o\r\n"), "whole");
+    const std::string got = entry.send_and_receive(
+        request_text("/once/x?y=1", "r1", "Other: o\r\n"), "whole");
     CHECK(has(got, "HTTP/1.1 200 OK\r\n"));
     CHECK(has(got, "Seal: s\r\n"));
     REQUIRE(target.requests().size() == 1);
@@ -42,7 +42,7 @@
     for (int one = 0; one < 3; ++one)
     {
         const std::string id = "r" + std::to_string(one);
-        entry.send(*caller, request("/once/", id));
+        entry.send(*caller, request_text("/once/", id));
         entry.run_until([&] { return has(caller->received, "Id: " + id); });
         entry.settle();
     }
@@ -56,7 +56,7 @@
     serving_fixture entry;
     entry.add_target("plain", good);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1", "Connection: close\r\n"));
+    entry.send(*caller, request_text("/once/", "r1", "Connection: close\r\n"));
     entry.run_until([&] { return caller->is_ended; });
     CHECK(has(caller->received, "whole"));
 }
@@ -65,16 +65,19 @@
 {
     serving_fixture entry;
     entry.add_target("plain", good);
-    CHECK(has(entry.ask(request("/nothing/", "r1")), " 404 "));
-    CHECK(has(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: bad\r\n"
-                        "Id: r1\r\n\r\n"),
-              " 401 "));
-    CHECK(has(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\n"
-                        "\r\n"),
+    CHECK(
+        has(entry.send_and_receive(request_text("/nothing/", "r1")), " 404 "));
+    CHECK(has(
+        entry.send_and_receive("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: bad\r\n"
+                               "Id: r1\r\n\r\n"),
+        " 401 "));
+    CHECK(has(entry.send_and_receive(
+                  "GET /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\n"
+                  "\r\n"),
               " 400 "));
-    CHECK(has(entry.ask("nonsense\r\n\r\n"), " 400 "));
+    CHECK(has(entry.send_and_receive("nonsense\r\n\r\n"), " 400 "));
     entry.context->catalog = nullptr;
-    CHECK(has(entry.ask(request("/once/", "r1")), " 503 "));
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r1")), " 503 "));
 }
 
 // Callers of a process that has just started are refused, and wait for their
@@ -90,7 +93,7 @@
     const auto known = std::exchange(entry.context->catalog, nullptr);
     entry.context->requests_wait_until = entry.time.now() + 500ms;
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.settle();
     CHECK(caller->received.empty());
     entry.time.advance(100ms);
@@ -110,7 +113,7 @@
     entry.context->knows_all_targets = false;
     entry.context->requests_wait_until = entry.time.now() + 500ms;
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.settle();
     CHECK(caller->received.empty());
     entry.add_target("plain", good);
@@ -128,12 +131,12 @@
     entry.context->catalog = nullptr;
     entry.context->requests_wait_until = entry.time.now() + 500ms;
     const auto early = entry.connect();
-    entry.send(*early, request("/once/", "r1"));
+    entry.send(*early, request_text("/once/", "r1"));
     entry.settle();
     entry.time.advance(600ms);
     entry.run_until([&] { return has(early->received, "503"); });
     CHECK(has(early->received, "Retry-After"));
-    CHECK(has(entry.ask(request("/once/", "r2")), "503"));
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r2")), "503"));
 }
 
 // A second request, of which no caller knows, reaches a target.
@@ -156,7 +159,8 @@
           std::string("Content-Length: 5\r\nContent-Length: 6\r\n")})
     {
         CAPTURE(fields);
-        CHECK(has(entry.ask(head + fields + "\r\n" + hidden), " 400 "));
+        CHECK(has(entry.send_and_receive(head + fields + "\r\n" + hidden),
+                  " 400 "));
     }
     CHECK(target.requests().empty());
 }
@@ -165,10 +169,11 @@
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
-    entry.ask("POST /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\nId: r1\r\n"
-              "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
-              "0\r\n\r\n",
-              "whole");
+    entry.send_and_receive(
+        "POST /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\nId: r1\r\n"
+        "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
+        "0\r\n\r\n",
+        "whole");
     REQUIRE(target.requests().size() == 1);
     CHECK(has(target.requests()[0], "Content-Length: 5\r\n\r\nabcde"));
 }
@@ -182,7 +187,8 @@
     serving_fixture entry;
     auto& first = entry.add_target("plain", always("", end::reset));
     auto& second = entry.add_target("plain", always("", end::reset));
-    const std::string got = entry.ask(request("/once/", "r1"));
+    const std::string got =
+        entry.send_and_receive(request_text("/once/", "r1"));
     CHECK(has(got, " 502 "));
     CHECK_FALSE(has(got, "Retry-After"));
     CHECK(first.requests().size() + second.requests().size() == 1);
@@ -199,7 +205,8 @@
     };
     entry.add_target("plain", once_reset);
     entry.add_target("plain", once_reset);
-    CHECK(has(entry.ask(request("/again/", "r1"), "whole"), " 200 "));
+    CHECK(has(entry.send_and_receive(request_text("/again/", "r1"), "whole"),
+              " 200 "));
     CHECK(sent == 2);
 }
 
@@ -210,14 +217,16 @@
     const auto full = [&sent](const std::string& text, std::size_t number)
     {
         return ++sent == 1
-                   ? scripted_target::reaction{answer("r1", "", "503 Full",
-                                                      "Not-Run: 1\r\n"),
+                   ? scripted_target::reaction{response_text("r1", "",
+                                                             "503 Full",
+                                                             "Not-Run: 1\r\n"),
                                                end::keep}
                    : good(text, number);
     };
     entry.add_target("plain", full);
     entry.add_target("plain", full);
-    CHECK(has(entry.ask(request("/once/", "r1"), "whole"), " 200 "));
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+              " 200 "));
 }
 
 TEST_CASE("where all targets refuse, the caller is told when to come back")
@@ -226,11 +235,12 @@
     const auto full = [](const std::string&, std::size_t)
     {
         return scripted_target::reaction{
-            answer("r1", "", "503 Full", "Not-Run: 1\r\n"), end::keep};
+            response_text("r1", "", "503 Full", "Not-Run: 1\r\n"), end::keep};
     };
     entry.add_target("plain", full);
     entry.add_target("plain", full);
-    const std::string got = entry.ask(request("/once/", "r1"));
+    const std::string got =
+        entry.send_and_receive(request_text("/once/", "r1"));
     CHECK(has(got, " 503 "));
     CHECK(has(got, "Retry-After: "));
 }
@@ -246,11 +256,14 @@
                      {
                          auto now = good(text, number);
                          if (number == 1)
-                             now.bytes = answer("r1", "stray") + now.bytes;
+                             now.bytes =
+                                 response_text("r1", "stray") + now.bytes;
                          return now;
                      });
-    CHECK(has(entry.ask(request("/once/", "r1"), "whole"), "whole"));
-    const std::string got = entry.ask(request("/once/", "r2"), "whole");
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+              "whole"));
+    const std::string got =
+        entry.send_and_receive(request_text("/once/", "r2"), "whole");
     CHECK(has(got, "Id: r2"));
     CHECK_FALSE(has(got, "stray"));
 }
@@ -263,29 +276,32 @@
                          [](const std::string& text, std::size_t number)
                          {
                              auto now = good(text, number);
-                             now.bytes += answer("r1", "extra");
+                             now.bytes += response_text("r1", "extra");
                              return now;
                          });
-    CHECK_FALSE(has(entry.ask(request("/once/", "r1"), "whole"), "extra"));
-    entry.ask(request("/once/", "r2"), "whole");
+    CHECK_FALSE(
+        has(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+            "extra"));
+    entry.send_and_receive(request_text("/once/", "r2"), "whole");
     CHECK(target.connections() == 2);
 }
 
 TEST_CASE("an answer cut short, spoiled or unsigned is no answer")
 {
-    const std::string cut = answer("r1", "whole").substr(0, 57);
+    const std::string cut = response_text("r1", "whole").substr(0, 57);
     const std::string no_length =
         "HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nhalf";
     for (const auto& [bytes, then] :
          {std::pair{cut, end::close}, std::pair{cut, end::reset},
           std::pair{no_length, end::reset},
           std::pair{std::string("\x01\x02 spoiled\r\n\r\n"), end::close},
-          std::pair{answer("r1", "x", "200 OK", ""), end::keep}})
+          std::pair{response_text("r1", "x", "200 OK", ""), end::keep}})
     {
         serving_fixture entry;
         entry.add_target("plain", always(bytes, then));
         CAPTURE(bytes);
-        CHECK(has(entry.ask(request("/once/", "r1")), " 502 "));
+        CHECK(
+            has(entry.send_and_receive(request_text("/once/", "r1")), " 502 "));
     }
 }
 
@@ -295,7 +311,8 @@
     entry.add_target("plain",
                      always("HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nwhole",
                             end::close));
-    const std::string got = entry.ask(request("/once/", "r1"), "whole");
+    const std::string got =
+        entry.send_and_receive(request_text("/once/", "r1"), "whole");
     CHECK(has(got, "Content-Length: 5\r\n"));
 }
 
@@ -305,7 +322,7 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", always("", end::hang));
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.run_until([&] { return target.requests().size() == 1; });
     entry.time.advance(4900ms);
     entry.settle();
@@ -327,7 +344,7 @@
     entry.add_target("plain", silent);
     entry.add_target("plain", silent);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/again/", "r1"));
+    entry.send(*caller, request_text("/again/", "r1"));
     entry.run_until([&] { return sent == 1; });
     entry.time.advance(2500ms);
     entry.run_until([&] { return has(caller->received, "whole"); });
@@ -339,7 +356,7 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", always("", end::hang));
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.run_until([&] { return target.requests().size() == 1; });
     caller->socket.close();
     entry.settle();
@@ -358,7 +375,7 @@
     auto& target = entry.add_target("plain", good);
     entry.settle();
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     caller->socket.close();
     entry.time.advance(1500ms);
     entry.settle();
@@ -372,7 +389,7 @@
     serving_fixture entry;
     entry.add_target("plain", good);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     caller->socket.shutdown(mangofold::serving::tcp::socket::shutdown_send);
     entry.run_until([&] { return has(caller->received, "whole"); });
     entry.run_until([&] { return caller->is_ended; });
@@ -384,7 +401,8 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
     entry.context->drain.emplace(entry.time.now() - 3s, 3s, 2);
-    const std::string got = entry.ask(request("/once/", "r1"));
+    const std::string got =
+        entry.send_and_receive(request_text("/once/", "r1"));
     CHECK(has(got, " 503 "));
     CHECK(has(got, "Retry-After"));
     CHECK(target.requests().empty());
@@ -395,7 +413,8 @@
     serving_fixture entry;
     entry.add_target("plain", good);
     entry.context->drain.emplace(entry.time.now(), 8s, 2);
-    const std::string got = entry.ask(request("/once/", "r1"), "whole");
+    const std::string got =
+        entry.send_and_receive(request_text("/once/", "r1"), "whole");
     CHECK(has(got, "Connection: close"));
 }
 
@@ -417,12 +436,15 @@
     auto& target = entry.add_target("plain", good);
     mangofold::decision::listed_target listed =
         *entry.context->directory.serving("plain").front();
-    CHECK(has(entry.ask(request("/once/", "r1"), "whole"), "whole"));
-    CHECK(has(entry.ask(request("/once/", "r2"), "whole"), "whole"));
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+              "whole"));
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r2"), "whole"),
+              "whole"));
     CHECK(target.connections() == 1);
     listed.start.born = 200;
     ++listed.revision;
     entry.context->directory.note(listed);
-    CHECK(has(entry.ask(request("/once/", "r3"), "whole"), "whole"));
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r3"), "whole"),
+              "whole"));
     CHECK(target.connections() == 2);
 }
--- a/tests/serving/frame_socket_test.cpp
+++ b/tests/serving/frame_socket_test.cpp
@@ -22,7 +22,7 @@
         far.connect(acceptor.local_endpoint());
         near = std::make_shared<frame_socket>(acceptor.accept());
         other = std::make_shared<frame_socket>(std::move(far));
-        start(loop, read());
+        spawn(loop, read());
     }
 
     awaitable<void> read()
--- a/tests/serving/listed_pages_test.cpp
+++ b/tests/serving/listed_pages_test.cpp
@@ -56,7 +56,7 @@
         : loop(its_loop), acceptor(its_loop)
     {
         listen_at(acceptor, {"127.0.0.1", 0});
-        start(loop, test::accept_all(loop, acceptor,
+        spawn(loop, test::accept_all(loop, acceptor,
                                      [this](tcp::socket socket)
                                      { return serve(std::move(socket)); }));
     }
@@ -68,7 +68,7 @@
         {
             error_code fault;
             const std::size_t count = co_await socket.async_read_some(
-                asio::buffer(chunk), into(fault));
+                asio::buffer(chunk), store_error_in(fault));
             if (fault)
                 co_return;
             const std::string asked(chunk.data(), count);
@@ -76,7 +76,7 @@
                 continue; // Nothing changes.
             const std::string reply = answer(asked);
             co_await asio::async_write(socket, asio::buffer(reply),
-                                       into(fault));
+                                       store_error_in(fault));
         }
     }
 
@@ -143,7 +143,7 @@
 {
     starting_entry entry;
     entry.source.refused = {"1"};
-    start(entry.loop, entry.reader.run());
+    spawn(entry.loop, entry.reader.run());
     entry.pass_until([&] { return entry.source.times_asked["1"] >= 2; });
     CHECK(entry.known() == 1);
     CHECK(entry.context->knows_targets);
@@ -159,7 +159,7 @@
 {
     starting_entry entry;
     entry.source.refused = {"1"};
-    start(entry.loop, entry.reader.run());
+    spawn(entry.loop, entry.reader.run());
     entry.pass_until([&] { return entry.source.times_asked["1"] >= 3; });
     entry.source.refused.clear();
     entry.pass_until([&] { return entry.context->knows_all_targets; });
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -50,7 +50,7 @@
         : other(loop),
           link(std::make_shared<peer_link>(*context, listener, other.address()))
     {
-        start(loop, link->run());
+        spawn(loop, link->run());
         run_until([&] { return link->is_alive(); });
         decision::stage_job job;
         job.request = "r1";
@@ -95,13 +95,13 @@
     explicit slow_entry(asio::io_context& loop)
         : acceptor(loop, {asio::ip::address_v4::loopback(), 0}), socket(loop)
     {
-        start(loop, accept());
+        spawn(loop, accept());
     }
 
     awaitable<void> accept()
     {
         error_code fault;
-        co_await acceptor.async_accept(socket, into(fault));
+        co_await acceptor.async_accept(socket, store_error_in(fault));
         // An empty pong: field 3 of two bytes, without a length of its own.
         send(std::string("\0\0\0\2\x1a\0", 6));
         send(std::string("\0\1\0\0", 4));
@@ -131,7 +131,7 @@
     const auto link = std::make_shared<peer_link>(
         *entry.context, listener,
         "127.0.0.1:" + std::to_string(other.acceptor.local_endpoint().port()));
-    start(entry.loop, link->run());
+    spawn(entry.loop, link->run());
     entry.run_until([&] { return link->is_alive(); });
     for (int step = 0; step < 20; ++step)
     {
@@ -193,7 +193,7 @@
     void wake()
     {
         fillers.clear();
-        start(loop, test::accept_all(loop, acceptor,
+        spawn(loop, test::accept_all(loop, acceptor,
                                      [this](tcp::socket socket)
                                      { return read(std::move(socket)); }));
     }
@@ -225,7 +225,7 @@
     entry.settle();
     const auto link =
         std::make_shared<peer_link>(*entry.context, listener, other.address());
-    start(entry.loop, link->run());
+    spawn(entry.loop, link->run());
     entry.settle();
     other.wake();
     entry.settle();
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -19,7 +19,7 @@
 struct behind_fixture : test::serving_fixture
 {
     behind_fixture()
-        : source(*context, speaks), mesh(*context, source, *gathering)
+        : source(*context, speaks), mesh(*context, source, *piece_gatherer)
     {
         context->settings.adoption_time = 3s;
         for (auto& one : others)
@@ -29,7 +29,7 @@
             one->holding.set_cores(1); // It may gather, and is asked often.
             mesh.add(one->address());
         }
-        start(loop, mesh.run());
+        spawn(loop, mesh.run());
     }
 
     void pass(duration most)
--- a/tests/serving/peer_server_test.cpp
+++ b/tests/serving/peer_server_test.cpp
@@ -19,10 +19,10 @@
     {
         context->settings.peers = {"127.0.0.1", free_port()};
         server.emplace(
-            *context, *gathering, [](const std::string&) {},
+            *context, *piece_gatherer, [](const std::string&) {},
             [](std::size_t) { return peer::Holding(); },
             [this] { return text; });
-        start(loop, server->run());
+        spawn(loop, server->run());
     }
 
     static std::uint16_t free_port()
@@ -55,7 +55,7 @@
     peer::Frame first_frame(const frame_socket_ptr& other)
     {
         std::optional<peer::Frame> came;
-        start(loop, read(other, came));
+        spawn(loop, read(other, came));
         run_until([&] { return came.has_value(); });
         return *came;
     }
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -46,7 +46,7 @@
                                     const std::string& request)
     {
         if (!has(request, "poison"))
-            return {answer(id_of(request), "whole"), end::keep};
+            return {response_text(id_of(request), "whole"), end::keep};
         ++ended;
         context->directory.note_gone(name, 100 + ended);
         add();
@@ -57,7 +57,8 @@
     std::string ask_again(const std::string& path)
     {
         time.advance(500ms);
-        return ask(request(path, "r" + std::to_string(++asked)));
+        return send_and_receive(
+            request_text(path, "r" + std::to_string(++asked)));
     }
 
     std::string service;
@@ -76,7 +77,7 @@
                    [](const std::string& request, std::size_t)
                    {
                        return scripted_target::reaction{
-                           answer(id_of(request), "id: 1\ndata: e\n\n"),
+                           response_text(id_of(request), "id: 1\ndata: e\n\n"),
                            end::keep};
                    });
     }
@@ -96,7 +97,7 @@
                                     const std::string& call)
     {
         if (has(call, "/let-go"))
-            return {answer("", ""), end::keep};
+            return {response_text("", ""), end::keep};
         const std::string body = call.substr(call.find("\r\n\r\n") + 4);
         if (has(body, "poison"))
         {
@@ -108,7 +109,7 @@
         std::string results;
         for (std::size_t at = 0; at < body.size(); at = body.find('\n', at) + 1)
             results += where + "/" + std::to_string(++made) + "\n";
-        return {answer("", results), end::keep};
+        return {response_text("", results), end::keep};
     }
 
     std::size_t listed = 1; // The target of "events" is numbered too.
@@ -172,7 +173,7 @@
     {
         callers.push_back(entry.connect());
         entry.send(*callers.back(),
-                   request("/staged/" + id, id, "Pieces: 11\r\n"));
+                   request_text("/staged/" + id, id, "Pieces: 11\r\n"));
     }
     entry.settle();
     constexpr int targets = 4;
@@ -190,8 +191,8 @@
         CHECK(has(one->received, "Id: poison1") != has(one->received, " 200 "));
     }
     // It is known now, whatever the id.
-    const std::string again =
-        entry.ask(request("/staged/poison1", "poison2", "Pieces: 11\r\n"));
+    const std::string again = entry.send_and_receive(
+        request_text("/staged/poison1", "poison2", "Pieces: 11\r\n"));
     CHECK(has(again, " 503 "));
     CHECK(has(again, "quarantined"));
     CHECK(entry.ended <= most_ended);
--- a/tests/serving/settings_keeper_test.cpp
+++ b/tests/serving/settings_keeper_test.cpp
@@ -39,7 +39,7 @@
 TEST_CASE("a hangup signal makes a running process take its new settings")
 {
     keeper_fixture one;
-    start(one.loop, one.keeper.run());
+    spawn(one.loop, one.keeper.run());
     one.settle();
     one.written.seeds = {{"127.0.0.1", 7}};
     std::raise(SIGHUP);
@@ -50,7 +50,7 @@
 TEST_CASE("settings that change without a signal are found")
 {
     keeper_fixture one;
-    start(one.loop, one.keeper.run());
+    spawn(one.loop, one.keeper.run());
     one.settle();
     one.written.grace = 5s;
     one.time.advance(2s);
--- a/tests/serving/source_reader_test.cpp
+++ b/tests/serving/source_reader_test.cpp
@@ -22,7 +22,7 @@
           catalog(std::string(bytes - 1, '0') + "7")
     {
         listen_at(acceptor, {"127.0.0.1", 0});
-        start(loop, test::accept_all(loop, acceptor,
+        spawn(loop, test::accept_all(loop, acceptor,
                                      [this](tcp::socket socket)
                                      { return serve(std::move(socket)); }));
     }
@@ -34,7 +34,7 @@
         {
             error_code fault;
             const std::size_t count = co_await socket.async_read_some(
-                asio::buffer(chunk), into(fault));
+                asio::buffer(chunk), store_error_in(fault));
             if (fault)
                 co_return;
             const std::string asked(chunk.data(), count);
@@ -58,13 +58,15 @@
         error_code fault;
         const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: " +
                                  std::to_string(body.size()) + "\r\n\r\n";
-        co_await asio::async_write(socket, asio::buffer(head), into(fault));
+        co_await asio::async_write(socket, asio::buffer(head),
+                                   store_error_in(fault));
         for (std::size_t at = 0; at < body.size() && !fault; at += part)
         {
             loop_timer timer(loop, pause);
-            co_await timer.async_wait(into(fault));
-            co_await asio::async_write(
-                socket, asio::buffer(body.data() + at, part), into(fault));
+            co_await timer.async_wait(store_error_in(fault));
+            co_await asio::async_write(socket,
+                                       asio::buffer(body.data() + at, part),
+                                       store_error_in(fault));
         }
     }
 
@@ -87,7 +89,7 @@
                                     source.acceptor.local_endpoint().port()};
         context->settings.adoption_time = 3s;
         context->catalog = nullptr;
-        start(loop, reader.run());
+        spawn(loop, reader.run());
     }
 
     void pass(duration most)
--- a/tests/serving/stream_test.cpp
+++ b/tests/serving/stream_test.cpp
@@ -63,7 +63,8 @@
                                  last_chunk,
                              end::keep};
                      });
-    const std::string got = entry.ask(request("/events/", "r1"), last_chunk);
+    const std::string got =
+        entry.send_and_receive(request_text("/events/", "r1"), last_chunk);
     CHECK(has(got, "Transfer-Encoding: chunked"));
     CHECK(has(got, "data: e1"));
     CHECK(has(got, "data: e2"));
@@ -78,7 +79,7 @@
                              head("r1") + chunk(event(1)), end::hang};
                      });
     const auto caller = entry.connect();
-    entry.send(*caller, request("/events/", "r1"));
+    entry.send(*caller, request_text("/events/", "r1"));
     entry.run_until([&] { return has(caller->received, "data: e1"); });
 }
 
@@ -96,7 +97,7 @@
                                  head("r1") + chunk(event(1)), then};
                          });
         const auto caller = entry.connect();
-        entry.send(*caller, request("/once-events/", "r1"));
+        entry.send(*caller, request_text("/once-events/", "r1"));
         entry.run_until([&] { return caller->is_ended; });
         CHECK(has(caller->received, "data: e1"));
         CHECK_FALSE(has(caller->received, last_chunk));
@@ -124,7 +125,8 @@
     };
     entry.add_target("events", script);
     entry.add_target("events", script);
-    const std::string got = entry.ask(request("/events/", "r1"), last_chunk);
+    const std::string got =
+        entry.send_and_receive(request_text("/events/", "r1"), last_chunk);
     REQUIRE(sent.size() == 2);
     CHECK(has(sent[1], "After: 2\r\n"));
     CHECK(count(got, "HTTP/1.1 200") == 1);
@@ -148,7 +150,7 @@
     entry.add_target("events", script);
     entry.add_target("events", script);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/events/", "r1"));
+    entry.send(*caller, request_text("/events/", "r1"));
     entry.run_until([&] { return caller->is_ended; });
     CHECK_FALSE(has(caller->received, "data: e3"));
     CHECK_FALSE(has(caller->received, last_chunk));
@@ -164,7 +166,7 @@
                                  head("r1") + chunk(event(1)), end::hang};
                          });
     const auto caller = entry.connect();
-    entry.send(*caller, request("/events/", "r1"));
+    entry.send(*caller, request_text("/events/", "r1"));
     entry.run_until([&] { return has(caller->received, "data: e1"); });
     caller->socket.close();
     entry.settle();
@@ -182,7 +184,8 @@
         [&where](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::reaction{response_text("", ""),
+                                                 end::keep};
             std::string results;
             const std::string body = text.substr(text.find("\r\n\r\n") + 4);
             for (std::size_t at = 0; at < body.size();)
@@ -193,7 +196,8 @@
                 results += where + "/" + piece + "\n";
                 at = line + 1;
             }
-            return scripted_target::reaction{answer("", results), end::keep};
+            return scripted_target::reaction{response_text("", results),
+                                             end::keep};
         });
     where = maker.address();
     entry.add_target("events",
@@ -203,8 +207,8 @@
                              head("r1") + chunk(event(1)) + last_chunk,
                              end::keep};
                      });
-    const std::string got =
-        entry.ask(request("/staged/", "r1", "Pieces: 21\r\n"), last_chunk);
+    const std::string got = entry.send_and_receive(
+        request_text("/staged/", "r1", "Pieces: 21\r\n"), last_chunk);
     CHECK(has(got, "data: e1"));
     REQUIRE(maker.requests().size() >= 2);
     CHECK(has(maker.requests()[0], "r1.0.0\n"));
@@ -237,15 +241,17 @@
         [&made, &where](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::reaction{response_text("", ""),
+                                                 end::keep};
             return ++made == 1
-                       ? scripted_target::reaction{answer("", where + "/1\n"),
+                       ? scripted_target::reaction{response_text(
+                                                       "", where + "/1\n"),
                                                    end::keep}
                        : scripted_target::reaction{"", end::hang};
         });
     where = maker.address();
     const auto caller = entry.connect();
-    entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
+    entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
     entry.run_until([&] { return made == 2; });
     entry.settle();
     CHECK(maker.requests().size() == 2);
@@ -273,11 +279,12 @@
         {
             const bool is_release = has(text, "/let-go");
             return scripted_target::reaction{
-                answer("", is_release ? "" : "x/" + std::to_string(number)),
+                response_text("",
+                              is_release ? "" : "x/" + std::to_string(number)),
                 end::keep};
         });
     const auto caller = entry.connect();
-    entry.send(*caller, request("/beside/", "r1", "Pieces: 111\r\n"));
+    entry.send(*caller, request_text("/beside/", "r1", "Pieces: 111\r\n"));
     entry.run_until([&] { return entry.jobs.size() == 3; });
     CHECK(entry.jobs[0].stage == 1);
     CHECK_FALSE(entry.jobs[0].is_started);
@@ -297,7 +304,7 @@
     for (int sample = 0; sample < 300; ++sample)
         times.per_token.add(2s);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
+    entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
     entry.run_until([&] { return entry.jobs.size() == 1; });
     const auto left = entry.jobs[0].expires - entry.time.now();
     CHECK(left < 3s);
@@ -311,9 +318,9 @@
     serving_fixture entry;
     entry.context->drain.emplace(entry.time.now(), 8s, 2);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
+    entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
     entry.run_until([&] { return entry.jobs.size() == 1; });
-    entry.server->end_unsent();
+    entry.server->reject_unsent();
     entry.run_until([&] { return has(caller->received, "\"}"); });
     CHECK(has(caller->received, " 503 "));
     CHECK(has(caller->received, "Retry-After"));
@@ -333,15 +340,18 @@
         [&refused](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::reaction{response_text("", ""),
+                                                 end::keep};
             constexpr std::size_t max_refused = 8;
             if (refused < max_refused)
             {
                 ++refused;
                 return scripted_target::reaction{
-                    answer("", "", "503 Full", "Not-Run: 1\r\n"), end::keep};
+                    response_text("", "", "503 Full", "Not-Run: 1\r\n"),
+                    end::keep};
             }
-            return scripted_target::reaction{answer("", "x/1\n"), end::keep};
+            return scripted_target::reaction{response_text("", "x/1\n"),
+                                             end::keep};
         });
     entry.add_target("events",
                      [](const std::string&, std::size_t)
@@ -351,7 +361,7 @@
                              end::keep};
                      });
     const auto caller = entry.connect();
-    entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
+    entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
     for (int step = 0; step < 30; ++step)
     {
         entry.settle();
@@ -374,11 +384,12 @@
         [&made](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
-                return scripted_target::reaction{answer("", ""), end::keep};
+                return scripted_target::reaction{response_text("", ""),
+                                                 end::keep};
             const bool is_gone = ++made == 2;
             return scripted_target::reaction{
-                answer("",
-                       is_gone ? "gone\n" : "x/" + std::to_string(made) + "\n"),
+                response_text("", is_gone ? "gone\n"
+                                          : "x/" + std::to_string(made) + "\n"),
                 end::keep};
         });
     entry.add_target("events",
@@ -388,9 +399,9 @@
                              head("r1") + chunk(event(1)) + last_chunk,
                              end::keep};
                      });
-    CHECK(
-        has(entry.ask(request("/staged/", "r1", "Pieces: 11\r\n"), last_chunk),
-            "data: e1"));
+    CHECK(has(entry.send_and_receive(
+                  request_text("/staged/", "r1", "Pieces: 11\r\n"), last_chunk),
+              "data: e1"));
     CHECK(made == 4);
 }
 
@@ -407,6 +418,6 @@
                              return scripted_target::reaction{"", end::hang};
                          });
     const auto caller = entry.connect();
-    entry.send(*caller, request("/staged/", "r1", "Pieces: 11\r\n"));
+    entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
     entry.run_until([&] { return maker.requests().size() == 1; });
 }
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -36,11 +36,11 @@
     serving_fixture entry;
     auto& own = entry.add_target("plain", good, "a");
     auto& other = entry.add_target("plain", good, "b");
-    entry.ask(request("/once/", "r1"), "whole");
+    entry.send_and_receive(request_text("/once/", "r1"), "whole");
     const std::size_t before = own.requests().size();
     evacuate(entry, {"a"}, 5);
     for (const char* id : {"r2", "r3", "r4", "r5"})
-        entry.ask(request("/once/", id), "whole");
+        entry.send_and_receive(request_text("/once/", id), "whole");
     CHECK(own.requests().size() == before);
     CHECK(other.requests().size() >= 4);
 }
@@ -51,8 +51,8 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", good, "a");
     evacuate(entry, {"a"}, 5);
-    const std::string got =
-        entry.ask(request("/once/", "r1", "Budget: 3000\r\n"), "evacuated");
+    const std::string got = entry.send_and_receive(
+        request_text("/once/", "r1", "Budget: 3000\r\n"), "evacuated");
     CHECK(has(got, "503"));
     CHECK(has(got, "Retry-After: 0.9"));
     CHECK(target.requests().empty());
@@ -65,9 +65,9 @@
     entry.add_target("events", good, "b");
     entry.add_target("pieces", good, "a");
     evacuate(entry, {"a"}, 5);
-    const std::string got =
-        entry.ask(request("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
-                  "evacuated");
+    const std::string got = entry.send_and_receive(
+        request_text("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
+        "evacuated");
     CHECK(has(got, "503"));
     CHECK(entry.jobs.empty());
 }
@@ -80,12 +80,12 @@
     entry.add_target("events", good, "b");
     auto& maker = entry.add_target("pieces", hung, "a");
     const auto first = entry.connect();
-    entry.send(*first,
-               request("/staged/", "r1", "Pieces: 81\r\nBudget: 3000\r\n"));
+    entry.send(*first, request_text("/staged/", "r1",
+                                    "Pieces: 81\r\nBudget: 3000\r\n"));
     entry.run_until([&] { return maker.requests().size() == 1; });
     const auto second = entry.connect();
-    entry.send(*second,
-               request("/staged/", "r2", "Pieces: 81\r\nBudget: 3000\r\n"));
+    entry.send(*second, request_text("/staged/", "r2",
+                                     "Pieces: 81\r\nBudget: 3000\r\n"));
     entry.run_until([&] { return entry.jobs.size() == 2; });
     evacuate(entry, {"a"}, 5);
     entry.time.advance(30ms);
@@ -100,26 +100,29 @@
 {
     serving_fixture entry;
     std::size_t made = 0;
-    entry.add_target("pieces",
-                     [&made](const std::string&, std::size_t)
-                     {
-                         return scripted_target::reaction{
-                             answer("", "x/" + std::to_string(++made) + "\n"),
-                             end::keep};
-                     });
+    entry.add_target(
+        "pieces",
+        [&made](const std::string&, std::size_t)
+        {
+            return scripted_target::reaction{
+                response_text("", "x/" + std::to_string(++made) + "\n"),
+                end::keep};
+        });
     const auto full = [&entry](const std::string&, std::size_t number)
     {
         evacuate(entry, {"a"}, 5);
         return number == 0
-                   ? scripted_target::reaction{answer("r1", "", "503 Full",
-                                                      "Not-Run: 1\r\n"),
+                   ? scripted_target::reaction{response_text("r1", "",
+                                                             "503 Full",
+                                                             "Not-Run: 1\r\n"),
                                                end::keep}
                    : scripted_target::reaction{};
     };
     auto& first = entry.add_target("events", full, "b");
     auto& second = entry.add_target("events", full, "b");
-    entry.ask(request("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
-              "targets_full");
+    entry.send_and_receive(
+        request_text("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
+        "targets_full");
     CHECK(made == 2);
     CHECK(first.requests().size() + second.requests().size() >= 1);
 }
@@ -131,7 +134,7 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", good);
     entry.context->evacuations = {};
-    CHECK(has(entry.ask(request("/once/", "r1")), "503"));
+    CHECK(has(entry.send_and_receive(request_text("/once/", "r1")), "503"));
     CHECK(target.requests().empty());
 }
 
@@ -147,7 +150,7 @@
     serving::take_zone_words(*entry.context, serving::zones_of(message), "e");
     CHECK(entry.context->evacuations == other.context->evacuations);
     auto& target = entry.add_target("plain", good, "a");
-    entry.ask(request("/once/", "r1"), "evacuated");
+    entry.send_and_receive(request_text("/once/", "r1"), "evacuated");
     CHECK(target.requests().empty());
 }
 
@@ -176,7 +179,7 @@
     entry.context->cold.note_cold("t1", 10s, entry.time.now());
     entry.context->cold.note_sent("t1", {3s, 16}, 12, entry.time.now());
     const auto patient = entry.connect();
-    entry.send(*patient, request("/events/", "r1", "Budget: 3000\r\n"));
+    entry.send(*patient, request_text("/events/", "r1", "Budget: 3000\r\n"));
     entry.settle();
     CHECK(target.requests().empty());
     for (int step = 0; step < 110; ++step)
@@ -185,8 +188,8 @@
         entry.loop.run_for(1ms);
     }
     CHECK(target.requests().size() == 1);
-    const std::string got = entry.ask(
-        request("/events/", "r2", "Budget: 1000\r\n"), "targets_cold");
+    const std::string got = entry.send_and_receive(
+        request_text("/events/", "r2", "Budget: 1000\r\n"), "targets_cold");
     CHECK(has(got, "503"));
     CHECK(target.requests().size() == 1);
 }
--- a/tests/support/accept_all.hpp
+++ b/tests/support/accept_all.hpp
@@ -18,10 +18,10 @@
     {
         serving::error_code fault;
         serving::tcp::socket socket =
-            co_await acceptor.async_accept(serving::into(fault));
+            co_await acceptor.async_accept(serving::store_error_in(fault));
         if (fault)
             co_return;
-        serving::start(loop, serve(std::move(socket)));
+        serving::spawn(loop, serve(std::move(socket)));
     }
 }
 
--- a/tests/support/one_shot_server.hpp
+++ b/tests/support/closing_server.hpp
@@ -14,12 +14,12 @@
 
 /// A server that answers the first requests of each connection, then reads
 /// another request and closes the connection without a response.
-class one_shot_server
+class closing_server
 {
 public:
     /// Starts the server, which answers \a answered requests of each
     /// connection.
-    explicit one_shot_server(unsigned answered) : m_max_answers(answered)
+    explicit closing_server(unsigned answered) : m_max_answers(answered)
     {
         m_socket = socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address{};
@@ -33,15 +33,15 @@
         m_thread = std::thread([this] { serve(); });
     }
 
-    ~one_shot_server()
+    ~closing_server()
     {
         shutdown(m_socket, SHUT_RDWR);
         m_thread.join();
         close(m_socket);
     }
 
-    one_shot_server(const one_shot_server&) = delete;
-    one_shot_server& operator=(const one_shot_server&) = delete;
+    closing_server(const closing_server&) = delete;
+    closing_server& operator=(const closing_server&) = delete;
 
     std::uint16_t port() const { return m_port; }
     /// Returns the number of requests received.
--- a/tests/support/good_answers.hpp
+++ b/tests/support/good_answers.hpp
@@ -17,7 +17,7 @@
 {
     const std::size_t at = request.find("Id: ") + 4;
     const std::string id = request.substr(at, request.find('\r', at) - at);
-    return {answer(id, "whole"), scripted_target::reaction::end::keep};
+    return {response_text(id, "whole"), scripted_target::reaction::end::keep};
 }
 
 } // namespace mangofold::test
--- a/tests/support/plain_dialect.hpp
+++ b/tests/support/plain_dialect.hpp
@@ -12,81 +12,81 @@
 class plain_dialect : public serving::dialect
 {
 public:
-    serving::request_facts
-    facts(const serving::http_request& request) const override
+    serving::request_metadata
+    parse_request(const serving::http_request& request) const override
     {
-        serving::request_facts facts;
-        facts.id = text(request, "Id");
-        if (facts.id.empty())
-            throw serving::facts_error("request has no id");
-        facts.host = text(request, "Host");
-        facts.path = serving::view(request.target());
+        serving::request_metadata metadata;
+        metadata.id = text(request, "Id");
+        if (metadata.id.empty())
+            throw serving::invalid_message("request has no id");
+        metadata.host = text(request, "Host");
+        metadata.path = serving::view(request.target());
         const std::string budget = text(request, "Budget");
         if (!budget.empty())
-            facts.budget = std::chrono::milliseconds(std::stoi(budget));
+            metadata.budget = std::chrono::milliseconds(std::stoi(budget));
         if (request.count("Key") > 0)
-            facts.key = text(request, "Key");
+            metadata.key = text(request, "Key");
         for (const char digit : text(request, "Pieces"))
-            facts.pieces.push_back(static_cast<std::uint32_t>(digit - '0'));
-        facts.piece_key = "k";
-        return facts;
+            metadata.pieces.push_back(static_cast<std::uint32_t>(digit - '0'));
+        metadata.piece_key = "k";
+        return metadata;
     }
 
-    serving::http_fields
-    forwarded(const serving::http_request& request,
-              const serving::send_marks& marks) const override
+    serving::http_fields forwarded_fields(
+        const serving::http_request& request,
+        const serving::forwarding_metadata& metadata) const override
     {
         serving::http_fields fields;
         for (const auto& field : request)
-            if (!serving::is_of_connection(
-                    serving::view(field.name_string())) &&
+            if (!serving::is_hop_by_hop(serving::view(field.name_string())) &&
                 field.name_string() != "Key")
                 fields.insert(field.name_string(), field.value());
-        fields.set("To", marks.target_id);
-        if (marks.account)
-            fields.set("Account", *marks.account);
-        if (marks.last_event_id)
-            fields.set("After", *marks.last_event_id);
+        fields.set("To", metadata.target_id);
+        if (metadata.account)
+            fields.set("Account", *metadata.account);
+        if (metadata.last_event_id)
+            fields.set("After", *metadata.last_event_id);
         return fields;
     }
 
-    serving::answer_facts
-    answer(const serving::http_answer_head& answer) const override
+    serving::response_metadata
+    parse_response(const serving::http_response_head& response) const override
     {
-        serving::answer_facts facts;
-        facts.id = text(answer, "Id");
-        facts.has_not_run = answer.count("Not-Run") > 0;
-        facts.is_sealed = answer.count("Seal") > 0;
-        facts.idle_time = std::chrono::seconds(10);
-        return facts;
+        serving::response_metadata metadata;
+        metadata.id = text(response, "Id");
+        metadata.has_not_run = response.count("Not-Run") > 0;
+        metadata.is_signed = response.count("Seal") > 0;
+        metadata.keep_alive_timeout = std::chrono::seconds(10);
+        return metadata;
     }
 
     serving::http_fields
-    returned(const serving::http_answer_head& answer) const override
+    returned_fields(const serving::http_response_head& response) const override
     {
         serving::http_fields fields;
-        for (const auto& field : answer)
-            if (!serving::is_of_connection(serving::view(field.name_string())))
+        for (const auto& field : response)
+            if (!serving::is_hop_by_hop(serving::view(field.name_string())))
                 fields.insert(field.name_string(), field.value());
         return fields;
     }
 
-    serving::http_fields echo(const std::string& id) const override
+    serving::http_fields request_id_fields(const std::string& id) const override
     {
         serving::http_fields fields;
         fields.set("Id", id);
         return fields;
     }
 
-    serving::http_request
-    make_pieces(const std::string&,
-                const std::vector<serving::piece_order>& pieces) const override
+    serving::http_request make_pieces_request(
+        const std::string&,
+        const std::vector<serving::piece_task>& pieces) const override
     {
         serving::http_request call{serving::http::verb::post, "/make", 11};
         for (const auto& piece : pieces)
         {
-            call.body() += piece.request + "." + std::to_string(piece.stage) +
-                           "." + std::to_string(piece.piece);
+            call.body() += piece.request_id + "." +
+                           std::to_string(piece.stage) + "." +
+                           std::to_string(piece.piece);
             for (const auto& input : piece.inputs)
                 call.body() += "<" + input;
             call.body() += "\n";
@@ -95,7 +95,7 @@
     }
 
     std::vector<serving::piece_result>
-    piece_results(std::string_view body) const override
+    parse_piece_results(std::string_view body) const override
     {
         std::vector<serving::piece_result> results;
         while (!body.empty())
@@ -103,19 +103,19 @@
             const std::size_t end = std::min(body.find('\n'), body.size());
             const std::string line(body.substr(0, end));
             body.remove_prefix(std::min(end + 1, body.size()));
-            using kind = serving::piece_result::kind;
+            using status_code = serving::piece_result::status_code;
             if (line == "gone")
-                results.push_back({kind::gone, {}});
+                results.push_back({status_code::input_lost, {}});
             else if (line == "room")
-                results.push_back({kind::no_room, {}});
+                results.push_back({status_code::memory_full, {}});
             else
-                results.push_back({kind::made, line});
+                results.push_back({status_code::succeeded, line});
         }
         return results;
     }
 
     serving::http_request
-    release_results(const std::vector<std::string>& handles) const override
+    make_release_request(const std::vector<std::string>& handles) const override
     {
         serving::http_request call{serving::http::verb::post, "/let-go", 11};
         for (const auto& handle : handles)
@@ -123,7 +123,7 @@
         return call;
     }
 
-    std::string maker_of(const std::string& handle) const override
+    std::string producer_address(const std::string& handle) const override
     {
         return handle.substr(0, handle.find('/'));
     }
--- a/tests/support/played_entry.hpp
+++ b/tests/support/played_entry.hpp
@@ -17,8 +17,8 @@
 using serving::error_code;
 using serving::frame_socket;
 using serving::frame_socket_ptr;
-using serving::into;
-using serving::start;
+using serving::spawn;
+using serving::store_error_in;
 using serving::tcp;
 
 /// The other entry, as a test plays it: keeps what it was asked for, and
@@ -28,7 +28,7 @@
     explicit played_entry(asio::io_context& its_loop)
         : loop(its_loop), acceptor(loop, {asio::ip::address_v4::loopback(), 0})
     {
-        start(loop, accept_all(loop, acceptor,
+        spawn(loop, accept_all(loop, acceptor,
                                [this](tcp::socket socket)
                                { return serve(std::move(socket)); }));
     }
--- a/tests/support/scripted_target.cpp
+++ b/tests/support/scripted_target.cpp
@@ -33,7 +33,7 @@
       m_acceptor(loop, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
       m_script(std::move(reacts))
 {
-    start(loop, accept());
+    spawn(loop, accept());
 }
 
 std::string scripted_target::address() const
@@ -46,11 +46,12 @@
     for (;;)
     {
         error_code fault;
-        tcp::socket socket = co_await m_acceptor.async_accept(into(fault));
+        tcp::socket socket =
+            co_await m_acceptor.async_accept(store_error_in(fault));
         if (fault)
             co_return;
         ++m_connections;
-        start(m_loop, serve(std::move(socket)));
+        spawn(m_loop, serve(std::move(socket)));
     }
 }
 
@@ -61,8 +62,8 @@
     for (;;)
     {
         error_code fault;
-        const std::size_t count =
-            co_await socket.async_read_some(asio::buffer(chunk), into(fault));
+        const std::size_t count = co_await socket.async_read_some(
+            asio::buffer(chunk), store_error_in(fault));
         if (fault)
         {
             ++m_closed;
@@ -77,7 +78,7 @@
         const reaction now = m_script(m_requests.back(), m_requests.size() - 1);
         if (!now.bytes.empty())
             co_await asio::async_write(socket, asio::buffer(now.bytes),
-                                       into(fault));
+                                       store_error_in(fault));
         if (now.then == reaction::end::reset)
             socket.set_option(asio::socket_base::linger(true, 0), fault);
         if (now.then == reaction::end::reset ||
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -74,17 +74,17 @@
     settings.callers = {"127.0.0.1", 0};
     settings.retry_reserve = 100;
     settings.retry_share = 0.2;
-    context = std::make_unique<entry_context>(loop, time, speech, settings, 7);
+    context = std::make_unique<entry_context>(loop, time, dialect, settings, 7);
     context->catalog = std::make_shared<catalog::catalog_index>(document());
     context->knows_targets = true;
     context->evacuations.note_all({{}, 1});
     context->directory.set_source(true, time.now());
     context->pieces = this;
-    gathering = std::make_unique<gatherer>(*context);
+    piece_gatherer = std::make_unique<gatherer>(*context);
     server = std::make_unique<request_server>(*context);
-    start(loop, server->run());
-    start(loop, gathering->run());
-    start(loop, note_timer_runs());
+    spawn(loop, server->run());
+    spawn(loop, piece_gatherer->run());
+    spawn(loop, note_timer_runs());
 }
 
 awaitable<void> serving_fixture::note_timer_runs()
@@ -94,7 +94,7 @@
         context->lateness.note_timer_run(context->now());
         loop_timer timer(loop, turn_interval);
         error_code ignored; // The timer is never cancelled.
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
     }
 }
 
@@ -123,7 +123,7 @@
     auto connection = std::make_shared<caller>(loop);
     connection->socket.connect(
         {asio::ip::address_v4::loopback(), server->port()});
-    start(loop, receive(connection));
+    spawn(loop, receive(connection));
     return connection;
 }
 
@@ -134,7 +134,7 @@
     {
         error_code fault;
         const std::size_t count = co_await to->socket.async_read_some(
-            asio::buffer(chunk), into(fault));
+            asio::buffer(chunk), store_error_in(fault));
         to->received.append(chunk.data(), count);
         if (!fault)
             continue;
@@ -164,8 +164,8 @@
     REQUIRE(is_done());
 }
 
-std::string serving_fixture::ask(const std::string& request,
-                                 const std::string& end)
+std::string serving_fixture::send_and_receive(const std::string& request,
+                                              const std::string& end)
 {
     const auto connection = connect();
     send(*connection, request);
@@ -183,7 +183,7 @@
                            piece_wait_ptr wait)
 {
     jobs.push_back(job);
-    gathering->add(
+    piece_gatherer->add(
         service, std::move(job),
         [wait](piece_outcome outcome)
         {
@@ -198,19 +198,19 @@
 void serving_fixture::release(const std::string& service,
                               std::vector<std::string> handles)
 {
-    gathering->release(service, handles);
+    piece_gatherer->release(service, handles);
 }
 
-std::string request(const std::string& path, const std::string& id,
-                    const std::string& headers)
+std::string request_text(const std::string& path, const std::string& id,
+                         const std::string& headers)
 {
     return "GET " + path +
            " HTTP/1.1\r\nHost: h\r\nKey: good-key\r\nId: " + id + "\r\n" +
            headers + "\r\n";
 }
 
-std::string answer(const std::string& id, const std::string& body,
-                   const std::string& status, const std::string& headers)
+std::string response_text(const std::string& id, const std::string& body,
+                          const std::string& status, const std::string& headers)
 {
     return "HTTP/1.1 " + status + "\r\nId: " + id + "\r\n" + headers +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
--- a/tests/support/serving_fixture.hpp
+++ b/tests/support/serving_fixture.hpp
@@ -50,14 +50,14 @@
 
     /// Sends \a request on a new connection. Returns the bytes received when
     /// they contain \a end or the connection has ended.
-    std::string ask(const std::string& request,
-                    const std::string& end = "\r\n\r\n");
+    std::string send_and_receive(const std::string& request,
+                                 const std::string& end = "\r\n\r\n");
 
     serving::asio::io_context loop{1};
     runtime::paused_clock time;
-    plain_dialect speech;
+    plain_dialect dialect;
     std::unique_ptr<serving::entry_context> context;
-    std::unique_ptr<serving::gatherer> gathering;
+    std::unique_ptr<serving::gatherer> piece_gatherer;
     std::unique_ptr<serving::request_server> server;
     std::vector<decision::stage_job> jobs; ///< All jobs requested so far.
 
@@ -76,12 +76,12 @@
 
 /// Returns the bytes of a request to \a path with the id \a id and the header
 /// lines \a headers.
-std::string request(const std::string& path, const std::string& id,
-                    const std::string& headers = {});
+std::string request_text(const std::string& path, const std::string& id,
+                         const std::string& headers = {});
 
 /// Returns the bytes of a target's complete response to the request \a id.
-std::string answer(const std::string& id, const std::string& body,
-                   const std::string& status = "200 OK",
-                   const std::string& headers = "Seal: s\r\n");
+std::string response_text(const std::string& id, const std::string& body,
+                          const std::string& status = "200 OK",
+                          const std::string& headers = "Seal: s\r\n");
 
 } // namespace mangofold::test
