--- a/packages/serving/event_stream.hpp
+++ b/packages/serving/event_stream.hpp
@@ -32,7 +32,7 @@
     /// received twice.
     bool is_out_of_order() const { return m_is_out_of_order; }
 
-    /// Returns the id of the last complete event, if it has one.
+    /// Returns the id of the last complete event that has one, if any.
     std::optional<std::uint64_t> last_id() const { return m_last_id; }
 
 private:
