--- a/packages/serving/asio.cpp
+++ b/packages/serving/asio.cpp
@@ -5,15 +5,15 @@
 namespace mangofold::serving
 {
 
-void note_failed(const std::exception_ptr& fault)
+void log_failure(const std::exception_ptr& fault)
 {
     try
     {
         std::rethrow_exception(fault);
     }
-    catch (const std::exception& what)
+    catch (const std::exception& exception)
     {
-        runtime::event("work_failed").with("fault", what.what()).error();
+        runtime::event("work_failed").with("fault", exception.what()).error();
     }
 }
 
--- a/packages/serving/asio.hpp
+++ b/packages/serving/asio.hpp
@@ -27,31 +27,33 @@
 using decision::duration;
 using decision::instant;
 
-/// Returns a completion token that stores an error instead of throwing it.
-inline auto into(error_code& fault)
+/// Returns a completion token that stores an error in \a fault instead of
+/// throwing it.
+inline auto store_error_in(error_code& fault)
 {
     return asio::redirect_error(asio::use_awaitable, fault);
 }
 
-/// Logs the end of work that was started on its own and failed.
-void note_failed(const std::exception_ptr& fault);
+/// Logs the exception that ended a detached coroutine.
+void log_failure(const std::exception_ptr& fault);
 
-/// Starts \a work on its own.
+/// Starts \a work as a detached coroutine and logs the exception that ends
+/// it, if any.
 template<typename Awaitable>
-void start(asio::io_context& loop, Awaitable&& work)
+void spawn(asio::io_context& loop, Awaitable&& work)
 {
     asio::co_spawn(loop, std::forward<Awaitable>(work),
                    [](const std::exception_ptr& fault)
                    {
                        if (fault)
-                           note_failed(fault);
+                           log_failure(fault);
                    });
 }
 
-/// Returns the time from \a now until \a then, never negative.
-inline duration until(instant then, instant now)
+/// Returns the time left from \a now until \a deadline, never negative.
+inline duration time_until(instant deadline, instant now)
 {
-    return std::max(then - now, duration::zero());
+    return std::max(deadline - now, duration::zero());
 }
 
 /// Returns \a time in whole milliseconds, for logs.
--- a/packages/serving/auto_reset_event.hpp
+++ b/packages/serving/auto_reset_event.hpp
@@ -34,7 +34,7 @@
     {
         error_code ignored; // set() cancels the timer, which is not an error.
         m_timer.expires_after(timeout);
-        co_await m_timer.async_wait(into(ignored));
+        co_await m_timer.async_wait(store_error_in(ignored));
     }
     co_return std::exchange(m_is_set, false);
 }
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -78,7 +78,7 @@
 awaitable<void> entry_process::watch_signals()
 {
     error_code fault;
-    co_await m_signals.async_wait(into(fault));
+    co_await m_signals.async_wait(store_error_in(fault));
     if (!fault)
         co_await stop();
 }
@@ -98,16 +98,16 @@
     {
         const instant now = m_context.now();
         if (m_context.drain->is_out_of_rotation(now))
-            m_requests.close_idle();
+            m_requests.close_idle_connections();
         const bool is_idle =
             m_requests.connections() == 0 && m_gatherer.job_count() == 0;
         if (now + final_answers_time >= m_context.drain->request_deadline())
-            m_requests.end_unsent();
+            m_requests.reject_unsent();
         if (m_context.drain->may_exit(now, is_idle))
             break;
         error_code ignored; // The timer is never cancelled.
         timer.expires_after(drain_check_interval);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
     }
     runtime::event("stopped")
         .with("requests", m_requests.requests_in_progress())
@@ -122,7 +122,7 @@
     {
         error_code ignored; // The timer is never cancelled.
         timer.expires_after(maintenance_interval);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         m_context.links.close_expired();
         // The reader of the source expires targets after each watch, but a
         // watch can take seconds, and a removed target must expire sooner.
@@ -154,7 +154,7 @@
     {
         error_code ignored; // The timer is never cancelled.
         timer.expires_after(log_interval);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         measure_loop_lag();
         spdlog::default_logger()->flush();
     }
@@ -179,17 +179,17 @@
 {
     m_context.startup_wait_end = m_context.now() + first_catalog_wait;
     m_mesh.set_started();
-    start(m_context.loop, watch_signals());
-    start(m_context.loop, m_settings.run());
-    start(m_context.loop, m_source.run());
-    start(m_context.loop, m_mesh.run());
-    start(m_context.loop, m_peers.run());
-    start(m_context.loop, m_gatherer.run());
-    start(m_context.loop, m_maker.run());
-    start(m_context.loop, m_requests.run());
-    start(m_context.loop, m_status.run());
-    start(m_context.loop, run_maintenance());
-    start(m_context.loop, flush_logs());
+    spawn(m_context.loop, watch_signals());
+    spawn(m_context.loop, m_settings.run());
+    spawn(m_context.loop, m_source.run());
+    spawn(m_context.loop, m_mesh.run());
+    spawn(m_context.loop, m_peers.run());
+    spawn(m_context.loop, m_gatherer.run());
+    spawn(m_context.loop, m_maker.run());
+    spawn(m_context.loop, m_requests.run());
+    spawn(m_context.loop, m_status.run());
+    spawn(m_context.loop, run_maintenance());
+    spawn(m_context.loop, flush_logs());
     runtime::event("started").with("zone", m_context.settings.zone).info();
     m_context.loop.run();
     spdlog::default_logger()->flush();
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -50,13 +50,13 @@
 // exception, so its callbacks must not refer to the exchange any more.
 exchange::~exchange()
 {
-    m_session->set_on_left(nullptr);
-    m_session->set_on_ending(nullptr);
+    m_session->set_on_disconnect(nullptr);
+    m_session->set_on_shutdown(nullptr);
 }
 
 std::uint32_t exchange::max_output_tokens() const
 {
-    return std::max<std::uint32_t>(1, m_facts.most_tokens_out);
+    return std::max<std::uint32_t>(1, m_facts.max_output_tokens);
 }
 
 duration exchange::remaining_time() const
@@ -85,7 +85,7 @@
 decision::generation_request exchange::make_generation_request() const
 {
     decision::generation_request result;
-    for (const prompt_part& part : m_facts.prompt)
+    for (const prompt_segment& part : m_facts.prompt)
         result.prompt.push_back({part.id, part.tokens});
     if (m_stages)
         result.inputs = m_stages->result_bytes_by_zone();
@@ -94,7 +94,7 @@
 
 awaitable<void> exchange::run()
 {
-    m_session->set_on_left(
+    m_session->set_on_disconnect(
         [this]
         {
             if (m_call)
@@ -102,7 +102,7 @@
             if (m_stages)
                 m_stages->abort();
         });
-    m_session->set_on_ending([this] { prepare_for_shutdown(); });
+    m_session->set_on_shutdown([this] { prepare_for_shutdown(); });
     co_await wait_for_catalog();
     if (admit())
     {
@@ -110,10 +110,10 @@
         co_await serve();
     }
     release_stages();
-    if (m_session->has_left())
+    if (m_session->has_disconnected())
     {
         m_context.count("requests_left", "kind", "caller");
-        m_session->close_after();
+        m_session->close_after_response();
         co_return;
     }
     if (m_is_aborted_by_shutdown && m_answer_status == 0)
@@ -134,7 +134,7 @@
     constexpr int max_rounds = 6;
     for (int round = 0; round < max_rounds; ++round)
     {
-        if (m_session->has_left_unseen())
+        if (m_session->check_disconnected())
             co_return;
         const bool is_refused = co_await is_quarantined();
         if (is_refused)
@@ -247,7 +247,7 @@
     // Assigning the fields also overwrites method and path, so those are set
     // afterwards.
     static_cast<http_fields&>(forwarded_request.base()) =
-        m_context.protocol.forwarded(m_request, marks_for(*target));
+        m_context.protocol.forwarded_fields(m_request, marks_for(*target));
     forwarded_request.method_string(m_request.method_string());
     forwarded_request.target(m_request.target());
     forwarded_request.body() = m_request.body();
@@ -266,7 +266,7 @@
             id, m_context.warm_up_of(m_service).period, m_context.now());
     }
     attempt_outcome outcome = attempt_outcome::given_up;
-    if (m_session->has_left())
+    if (m_session->has_disconnected())
     {
         m_call->abort();
         m_context.standing.note_abandoned(id);
--- a/packages/serving/exchange_admission.cpp
+++ b/packages/serving/exchange_admission.cpp
@@ -36,7 +36,7 @@
 exchange::wait_during_startup(std::function<bool()> is_available)
 {
     while (!is_available() && m_context.now() < m_context.startup_wait_end &&
-           !m_session->has_left())
+           !m_session->has_disconnected())
         co_await wait_poll_interval();
 }
 
@@ -45,17 +45,17 @@
     constexpr duration step = std::chrono::milliseconds(10);
     loop_timer timer(m_context.loop, step);
     error_code ignored; // The timer is never cancelled.
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(store_error_in(ignored));
 }
 
 bool exchange::admit()
 {
     try
     {
-        m_facts = m_context.protocol.facts(m_request);
-        check_facts(m_facts);
+        m_facts = m_context.protocol.parse_request(m_request);
+        validate_request(m_facts);
     }
-    catch (const facts_error& fault)
+    catch (const invalid_message& fault)
     {
         runtime::event("request_unreadable")
             .with("request", m_facts.id)
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -36,7 +36,7 @@
 {
     const unsigned status = call.head().result_int();
     m_answer_status = status;
-    const bool is_valid = call.facts().is_sealed && call.facts().is_plain;
+    const bool is_valid = call.facts().is_signed && call.facts().is_unencoded;
     if (is_success(status) && !is_valid)
     {
         m_refusal = refusal::answer_spoiled;
@@ -54,7 +54,7 @@
     while (!call.is_complete())
     {
         const auto result = co_await call.read_more(remaining_time());
-        if (m_session->has_left())
+        if (m_session->has_disconnected())
         {
             call.abort();
             co_return attempt_outcome::given_up;
@@ -91,8 +91,8 @@
     }
     m_first_byte_at = m_context.now();
     const std::string body = call.take_body();
-    co_await m_session->send_answer(
-        status, m_context.protocol.returned(call.head()), body);
+    co_await m_session->send_response(
+        status, m_context.protocol.returned_fields(call.head()), body);
     co_return attempt_outcome::answered;
 }
 
@@ -101,11 +101,11 @@
     std::string bytes;
     if (!m_is_head_sent)
     {
-        http_fields fields = m_context.protocol.returned(call.head());
+        http_fields fields = m_context.protocol.returned_fields(call.head());
         fields.set(http::field::transfer_encoding, "chunked");
         if (!m_session->stays_open())
             fields.set(http::field::connection, "close");
-        bytes = head_bytes(call.head().result_int(), fields);
+        bytes = serialize_head(call.head().result_int(), fields);
         m_is_head_sent = true;
     }
     bytes += to_chunk(events);
@@ -150,7 +150,7 @@
                 if (m_stages)
                     m_stages->release();
             }
-            m_last_event = events.last();
+            m_last_event = events.last_id();
             if (!co_await send_events(call, std::move(complete_events)))
             {
                 call.abort();
@@ -160,7 +160,7 @@
         if (call.is_complete())
             break;
         const auto result = co_await call.read_more(remaining_time());
-        if (m_session->has_left())
+        if (m_session->has_disconnected())
         {
             call.abort();
             co_return attempt_outcome::given_up;
@@ -196,7 +196,7 @@
         times.answer_time.add(m_context.now() - m_sent_at);
     }
     if (!co_await m_session->send("0\r\n\r\n"))
-        m_session->close_after();
+        m_session->close_after_response();
     co_return attempt_outcome::answered;
 }
 
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -15,7 +15,7 @@
         co_return false;
     update_quarantine_verdict();
     while (m_verdict.outcome == admission::held && !is_past_deadline() &&
-           !m_session->has_left_unseen())
+           !m_session->check_disconnected())
     {
         co_await wait_poll_interval();
         update_quarantine_verdict();
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -96,7 +96,7 @@
     if (m_is_head_sent)
     {
         // A partly sent answer that can't be continued must not look complete.
-        m_session->break_off();
+        m_session->reset_connection();
         log_refusal(0);
         co_return;
     }
@@ -104,13 +104,14 @@
     http_fields fields;
     fields.set(http::field::content_type, "application/json");
     if (!m_facts.id.empty())
-        for (const auto& field : m_context.protocol.echo(m_facts.id))
+        for (const auto& field :
+             m_context.protocol.request_id_fields(m_facts.id))
             fields.set(field.name_string(), field.value());
     if (status == 503)
         fields.set(http::field::retry_after, retry_after());
     log_refusal(status);
     m_context.count("requests_refused", "why", to_string(m_refusal));
-    co_await m_session->send_answer(
+    co_await m_session->send_response(
         status, std::move(fields),
         R"({"error":")" + std::string(to_string(m_refusal)) + "\"}");
 }
@@ -132,7 +133,7 @@
         .with("sent_ms", ms_to(m_sent_at))
         .with("first_ms", ms_to(m_first_byte_at))
         .with("end_ms", ms_to(m_context.now()))
-        .with("tokens", m_facts.most_tokens_out)
+        .with("tokens", m_facts.max_output_tokens)
         .with("stages_done", m_stage_times)
         .with("begun_late", m_are_stages_late ? 1 : 0)
         .with("catalog", m_catalog->version())
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -73,7 +73,7 @@
             std::min(stages_deadline() - times.time_to_first_event.mean(),
                      latest_send_time()));
         status = co_await m_stages->run();
-        if (m_session->has_left_unseen())
+        if (m_session->check_disconnected())
             co_return false;
         m_stages_done_at = m_context.now();
         m_are_stages_late = m_stages->is_late();
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -88,7 +88,7 @@
     m_exclusive_until = m_context.now() + max_exclusive_wait;
     const auto* target = choose_target();
     while (target == nullptr && !is_past_deadline() &&
-           !m_session->has_left_unseen() &&
+           !m_session->check_disconnected() &&
            ((m_is_trial && m_context.now() < m_exclusive_until) ||
             may_wait_for_cold_target()))
     {
@@ -98,9 +98,9 @@
     co_return target;
 }
 
-send_marks exchange::marks_for(const decision::listed_target& target)
+forwarding_metadata exchange::marks_for(const decision::listed_target& target)
 {
-    send_marks marks;
+    forwarding_metadata marks;
     marks.target_id = target.incarnation.id;
     marks.budget = remaining_time();
     if (m_account != nullptr)
--- a/packages/serving/http.cpp
+++ b/packages/serving/http.cpp
@@ -17,22 +17,22 @@
 
 void append_fields(std::string& out, const http_fields& fields)
 {
-    for (const auto& one : fields)
+    for (const auto& field : fields)
     {
-        append(out, view(one.name_string()));
+        append(out, view(field.name_string()));
         append(out, ": ");
-        append(out, view(one.value()));
+        append(out, view(field.value()));
         append(out, "\r\n");
     }
 }
 
 } // namespace
 
-std::string to_bytes(const http_request& request, const std::string& host)
+std::string serialize(const http_request& request, const std::string& host)
 {
     std::string out;
-    constexpr std::size_t usual_head = 1024;
-    out.reserve(usual_head + request.body().size());
+    constexpr std::size_t typical_head_size = 1024;
+    out.reserve(typical_head_size + request.body().size());
     append(out, view(request.method_string()));
     append(out, " ");
     append(out, view(request.target()));
@@ -52,7 +52,7 @@
     return out;
 }
 
-std::string head_bytes(unsigned status, const http_fields& fields)
+std::string serialize_head(unsigned status, const http_fields& fields)
 {
     std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
     append(out, view(http::obsolete_reason(http::int_to_status(status))));
@@ -62,23 +62,24 @@
     return out;
 }
 
-bool is_of_connection(std::string_view name)
+bool is_hop_by_hop(std::string_view name)
 {
     static constexpr std::array<std::string_view, 10> names{
         "connection",        "keep-alive",     "proxy-connection",
         "transfer-encoding", "content-length", "te",
         "trailer",           "upgrade",        "expect",
         "proxy-authenticate"};
-    const std::string low = lower(name);
-    return std::find(names.begin(), names.end(), low) != names.end();
+    const std::string lower_name = to_lower(name);
+    return std::find(names.begin(), names.end(), lower_name) != names.end();
 }
 
-std::string lower(std::string_view text)
+std::string to_lower(std::string_view text)
 {
-    std::string low(text);
-    std::transform(low.begin(), low.end(), low.begin(),
-                   [](unsigned char one) { return std::tolower(one); });
-    return low;
+    std::string result(text);
+    std::transform(result.begin(), result.end(), result.begin(),
+                   [](unsigned char character)
+                   { return std::tolower(character); });
+    return result;
 }
 
 } // namespace mangofold::serving
--- a/packages/serving/job_router.cpp
+++ b/packages/serving/job_router.cpp
@@ -30,7 +30,7 @@
     {
         error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
     }
     m_has_settled = true;
     submit_held_jobs();
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -59,7 +59,7 @@
     error_code fault;
     const tcp::endpoint endpoint(asio::ip::make_address_v4(address.host),
                                  address.port);
-    co_await socket->async_connect(endpoint, into(fault));
+    co_await socket->async_connect(endpoint, store_error_in(fault));
     timeout.cancel();
     if (fault || !socket->is_open())
         co_return false;
@@ -88,7 +88,7 @@
             resubmit_jobs();
             m_is_silent = false;
             const instant connected_at = m_context.now();
-            start(m_context.loop, ping());
+            spawn(m_context.loop, ping());
             co_await listen();
             is_connected = false;
             if (should_reconnect_at_once(connected_at))
@@ -99,7 +99,7 @@
         }
         loop_timer timer(m_context.loop, pause);
         error_code ignored; // No other code cancels this timer.
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         pause = std::min(pause + pause / 4, max_retry_pause);
     }
 }
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -53,7 +53,7 @@
     auto link = std::make_shared<peer_link>(m_context, *this, address);
     m_links[address] = link;
     m_added_at[address] = m_context.now();
-    start(m_context.loop, link->run());
+    spawn(m_context.loop, link->run());
 }
 
 peer_link* peer_mesh::batching_peer(const std::string& service)
@@ -311,7 +311,7 @@
             add(seed.text());
         error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         remove_lost_entries();
         update_services();
         m_context.responding_entries = m_roster.size();
--- a/packages/serving/piece_batcher.cpp
+++ b/packages/serving/piece_batcher.cpp
@@ -104,15 +104,15 @@
     while (auto plan = queue.planner.next_call(m_context.now(), m_estimates))
     {
         note_started_jobs(queue, *plan);
-        start(m_context.loop, run_call(service, std::move(*plan)));
+        spawn(m_context.loop, run_call(service, std::move(*plan)));
     }
 }
 
-std::vector<piece_order>
+std::vector<piece_task>
 piece_batcher::piece_orders(const service_queue& queue,
                             const decision::planned_call& plan) const
 {
-    std::vector<piece_order> found;
+    std::vector<piece_task> found;
     const instant now = m_context.now();
     for (const decision::piece_ref& ref : plan.pieces)
     {
@@ -120,7 +120,7 @@
         if (job == nullptr)
             continue;
         found.push_back({job->request, job->stage, ref.piece,
-                         until(job->expires, now), job->key, job->inputs});
+                         time_until(job->expires, now), job->key, job->inputs});
     }
     return found;
 }
@@ -146,7 +146,7 @@
 {
     loop_timer timer(m_context.loop, after);
     error_code ignored; // No other code cancels this timer.
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(store_error_in(ignored));
     service_queue& queue = *m_queues.at(service);
     for (const decision::piece_ref& ref : plan.pieces)
     {
@@ -176,11 +176,11 @@
         m_context.links, m_context.protocol,
         call_destination{target->incarnation,
                          runtime::address::parse(target->address)});
-    const http_request request = m_context.protocol.make_pieces(
+    const http_request request = m_context.protocol.make_pieces_request(
         plan.target.id, piece_orders(queue, plan));
     const duration timeout =
         plan.expected_time * timeout_factor + timeout_margin;
-    start(m_context.loop,
+    spawn(m_context.loop,
           report_fetched_inputs(service, plan, fetch_time(queue, plan)));
     auto state = co_await sent_call->send_request(request, {}, timeout);
     while (state == target_call::outcome::ok && !sent_call->is_complete())
@@ -198,9 +198,9 @@
         {
             handle_results(
                 queue, plan,
-                m_context.protocol.piece_results(sent_call->take_body()));
+                m_context.protocol.parse_piece_results(sent_call->take_body()));
         }
-        catch (const facts_error& fault)
+        catch (const invalid_message& fault)
         {
             runtime::event("call_unreadable")
                 .with("target", plan.target.id)
@@ -266,7 +266,8 @@
             m_context.links, m_context.protocol,
             call_destination{maker, runtime::address::parse(address)});
         auto state = co_await sent_call->send_request(
-            m_context.protocol.release_results(handles), {}, timeout_margin);
+            m_context.protocol.make_release_request(handles), {},
+            timeout_margin);
         while (state == target_call::outcome::ok && !sent_call->is_complete())
             state = co_await sent_call->read_more(timeout_margin);
         if (state != target_call::outcome::ok)
@@ -284,7 +285,7 @@
     {
         error_code ignored; // No other code cancels this timer.
         timer.expires_after(tick);
-        co_await timer.async_wait(into(ignored));
+        co_await timer.async_wait(store_error_in(ignored));
         for (const auto& [service, times] : wait_times())
             note_wait_times(service, times);
         for (auto& [service, queue] : m_queues)
@@ -295,7 +296,7 @@
                 start_calls(service, *queue);
             }
             if (!queue->pending_releases.empty())
-                start(m_context.loop, send_releases(service));
+                spawn(m_context.loop, send_releases(service));
         }
         if (m_context.now() < m_summarized_at + summary_interval)
             continue;
--- a/packages/serving/piece_batcher.hpp
+++ b/packages/serving/piece_batcher.hpp
@@ -133,7 +133,7 @@
                  std::vector<std::string> handles, bool was_late = false);
     void end_finished_jobs(const std::string& service, service_queue& queue);
     void end_unwanted_jobs(const std::string& service, service_queue& queue);
-    std::vector<piece_order>
+    std::vector<piece_task>
     piece_orders(const service_queue& queue,
                  const decision::planned_call& plan) const;
     awaitable<void> send_releases(std::string service);
--- a/packages/serving/piece_batcher_results.cpp
+++ b/packages/serving/piece_batcher_results.cpp
@@ -26,29 +26,29 @@
     for (std::size_t index = 0; index < results.size(); ++index)
     {
         const decision::piece_ref& ref = plan.pieces[index];
-        switch (results[index].what)
+        switch (results[index].status)
         {
-        case piece_result::kind::made:
+        case piece_result::status_code::succeeded:
             queue.planner.note_piece_made(ref, plan.target,
                                           results[index].handle, now);
             if (queue.planner.find(ref.job) == nullptr)
                 queue_release(queue, results[index].handle);
             break;
-        case piece_result::kind::no_room:
+        case piece_result::status_code::memory_full:
             m_context.count("pieces_lost", "why", "room");
             ++queue.memory_refusals;
             queue.planner.note_memory_full(plan.target, now);
             queue.planner.requeue_piece(ref);
             break;
-        case piece_result::kind::failed:
+        case piece_result::status_code::failed:
             m_context.count("pieces_lost", "why", "failed");
             queue.planner.requeue_piece(ref);
             break;
-        case piece_result::kind::late:
+        case piece_result::status_code::expired:
             m_context.count("pieces_lost", "why", "late");
             mark_failed(queue, ref, decision::job_status::expired);
             break;
-        case piece_result::kind::gone:
+        case piece_result::status_code::input_lost:
             m_context.count("pieces_lost", "why", "gone");
             mark_failed(queue, ref, decision::job_status::input_lost);
             break;
@@ -69,8 +69,8 @@
 void piece_batcher::queue_release(service_queue& queue,
                                   const std::string& handle)
 {
-    queue.pending_releases[m_context.protocol.maker_of(handle)].push_back(
-        handle);
+    queue.pending_releases[m_context.protocol.producer_address(handle)]
+        .push_back(handle);
 }
 
 // A full target ran nothing, so no call was lost. When such refusals counted as
--- a/packages/serving/settings_reloader.cpp
+++ b/packages/serving/settings_reloader.cpp
@@ -97,7 +97,7 @@
                     m_hangup.cancel();
             });
         error_code fault;
-        co_await m_hangup.async_wait(into(fault));
+        co_await m_hangup.async_wait(store_error_in(fault));
         timer.cancel();
         reload(fault ? "interval" : "signal");
     }
--- a/packages/serving/source_reader.cpp
+++ b/packages/serving/source_reader.cpp
@@ -66,7 +66,7 @@
         m_context.catalog =
             std::make_shared<catalog::catalog_index>(std::move(read));
     }
-    catch (const facts_error& fault)
+    catch (const invalid_message& fault)
     {
         runtime::event("catalog_unreadable")
             .with("from", from)
@@ -97,7 +97,7 @@
                 static_cast<double>(call.received_bytes()) / min_rate));
         const instant end = began + time_limit + extension;
         const std::size_t before = call.received_bytes();
-        const duration left = until(end, m_context.now());
+        const duration left = time_until(end, m_context.now());
         result =
             co_await call.read_more(std::clamp(left, duration(1), max_gap));
         if (call.received_bytes() > before)
@@ -285,7 +285,7 @@
 {
     loop_timer timer(m_context.loop, time);
     error_code ignored; // The timer is never cancelled.
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(store_error_in(ignored));
 }
 
 awaitable<void> source_reader::back_off()
@@ -324,7 +324,7 @@
             else
                 is_ok = co_await read_step();
         }
-        catch (const facts_error& fault)
+        catch (const invalid_message& fault)
         {
             runtime::event("source_unreadable")
                 .with("fault", fault.what())
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 stage_runner::stage_runner(entry_context& context, const catalog::route& route,
-                           const request_facts& facts,
+                           const request_metadata& facts,
                            const decision::digest& content, std::string zone,
                            duration priority_delay, instant due,
                            instant expires)
@@ -116,7 +116,7 @@
         if (handles.empty())
             continue;
         const std::string address =
-            m_context.protocol.maker_of(handles.front());
+            m_context.protocol.producer_address(handles.front());
         for (const auto* target :
              m_context.directory.serving(m_route.stages[input].service))
             if (target->address == address)
@@ -288,7 +288,8 @@
         const auto& makers = m_context.directory.serving(stage.service);
         for (const std::string& handle : m_states[index].handles)
         {
-            const std::string address = m_context.protocol.maker_of(handle);
+            const std::string address =
+                m_context.protocol.producer_address(handle);
             for (const auto* target : makers)
                 if (target->address == address)
                     bytes[target->zone] += stage.result_bytes;
--- a/packages/serving/target_call.cpp
+++ b/packages/serving/target_call.cpp
@@ -63,7 +63,7 @@
     m_has_no_body = request.method() == http::verb::head;
     if (co_await connect(timeout) != outcome::ok)
         co_return outcome::not_sent;
-    m_connection->send(to_bytes(request, m_target.address.text()));
+    m_connection->send(serialize(request, m_target.address.text()));
     reset_parser();
     co_return co_await read_head(timeout);
 }
@@ -87,7 +87,7 @@
             reset_parser();
             continue;
         }
-        m_facts = m_dialect.answer(m_parser->get());
+        m_facts = m_dialect.parse_response(m_parser->get());
         if (!is_stray_answer())
             co_return outcome::ok;
         const outcome passed = co_await skip_stray_answer(timeout);
@@ -174,9 +174,10 @@
         return abort();
     // Half of the idle time that the target states, so that a request is never
     // sent while the target closes the connection.
-    const duration idle = m_facts.idle_time
-                              ? std::min(*m_facts.idle_time / 2, max_idle_time)
-                              : default_idle_time;
+    const duration idle =
+        m_facts.keep_alive_timeout
+            ? std::min(*m_facts.keep_alive_timeout / 2, max_idle_time)
+            : default_idle_time;
     m_pool.put_back(m_target.start, std::move(m_connection), idle);
     m_connection.reset();
 }
--- a/packages/serving/target_call.hpp
+++ b/packages/serving/target_call.hpp
@@ -52,8 +52,8 @@
     /// \a timeout.
     awaitable<outcome> read_more(duration timeout);
 
-    const http_answer_head& head() const { return m_parser->get(); }
-    const answer_facts& facts() const { return m_facts; }
+    const http_response_head& head() const { return m_parser->get(); }
+    const response_metadata& facts() const { return m_facts; }
 
     /// Returns the received part of the body and removes it from the buffer.
     std::string take_body();
@@ -95,7 +95,7 @@
     call_destination m_target;
     connection_ptr m_connection;
     std::optional<parser> m_parser;
-    answer_facts m_facts;
+    response_metadata m_facts;
     std::string m_id;
     bool m_has_no_body = false; ///< Answers to HEAD have no body.
     bool m_is_aborted = false;
--- a/packages/serving/target_connection.cpp
+++ b/packages/serving/target_connection.cpp
@@ -48,7 +48,7 @@
         co_return outcome::failed;
     start_timeout(timeout);
     const tcp::endpoint target_endpoint(ip, to.port);
-    co_await m_socket.async_connect(target_endpoint, into(fault));
+    co_await m_socket.async_connect(target_endpoint, store_error_in(fault));
     if (!fault)
     {
         error_code ignored; // Without this option small writes are only slower.
@@ -77,7 +77,7 @@
     error_code fault;
     start_timeout(timeout);
     const std::size_t count = co_await m_socket.async_read_some(
-        asio::buffer(m_read_buffer), into(fault));
+        asio::buffer(m_read_buffer), store_error_in(fault));
     m_received.append(m_read_buffer.data(), count);
     co_return finish_step(fault);
 }
--- a/tests/serving/exchange_test.cpp
+++ b/tests/serving/exchange_test.cpp
@@ -23,8 +23,8 @@
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", complete_response);
-    const std::string received =
-        entry.ask(request("/once/x?y=1", "r1", "Other: o\r\n"), "whole");
+    const std::string received = entry.send_and_receive(
+        request_text("/once/x?y=1", "r1", "Other: o\r\n"), "whole");
     CHECK(contains(received, "HTTP/1.1 200 OK\r\n"));
     CHECK(contains(received, "Seal: s\r\n"));
     REQUIRE(target.requests().size() == 1);
@@ -43,7 +43,7 @@
     for (int number = 0; number < 3; ++number)
     {
         const std::string id = "r" + std::to_string(number);
-        entry.send(*caller, request("/once/", id));
+        entry.send(*caller, request_text("/once/", id));
         entry.run_until([&]
                         { return contains(caller->received, "Id: " + id); });
         entry.settle();
@@ -58,7 +58,7 @@
     serving_fixture entry;
     entry.add_target("plain", complete_response);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1", "Connection: close\r\n"));
+    entry.send(*caller, request_text("/once/", "r1", "Connection: close\r\n"));
     entry.run_until([&] { return caller->is_ended; });
     CHECK(contains(caller->received, "whole"));
 }
@@ -67,17 +67,20 @@
 {
     serving_fixture entry;
     entry.add_target("plain", complete_response);
-    CHECK(contains(entry.ask(request("/nothing/", "r1")), " 404 "));
-    CHECK(contains(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: bad\r\n"
-                             "Id: r1\r\n\r\n"),
-                   " 401 "));
-    CHECK(
-        contains(entry.ask("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\n"
-                           "\r\n"),
-                 " 400 "));
-    CHECK(contains(entry.ask("nonsense\r\n\r\n"), " 400 "));
+    CHECK(contains(entry.send_and_receive(request_text("/nothing/", "r1")),
+                   " 404 "));
+    CHECK(contains(
+        entry.send_and_receive("GET /once/ HTTP/1.1\r\nHost: h\r\nKey: bad\r\n"
+                               "Id: r1\r\n\r\n"),
+        " 401 "));
+    CHECK(contains(entry.send_and_receive(
+                       "GET /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\n"
+                       "\r\n"),
+                   " 400 "));
+    CHECK(contains(entry.send_and_receive("nonsense\r\n\r\n"), " 400 "));
     entry.context->catalog = nullptr;
-    CHECK(contains(entry.ask(request("/once/", "r1")), " 503 "));
+    CHECK(contains(entry.send_and_receive(request_text("/once/", "r1")),
+                   " 503 "));
 }
 
 // When all entries start at once, requests arrive some hundredths of a second
@@ -89,7 +92,7 @@
     const auto catalog = std::exchange(entry.context->catalog, nullptr);
     entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.settle();
     CHECK(caller->received.empty());
     entry.time.advance(100ms);
@@ -108,7 +111,7 @@
     entry.context->has_all_targets = false;
     entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.settle();
     CHECK(caller->received.empty());
     entry.add_target("plain", complete_response);
@@ -126,12 +129,13 @@
     entry.context->catalog = nullptr;
     entry.context->startup_wait_end = entry.time.now() + 500ms;
     const auto early_caller = entry.connect();
-    entry.send(*early_caller, request("/once/", "r1"));
+    entry.send(*early_caller, request_text("/once/", "r1"));
     entry.settle();
     entry.time.advance(600ms);
     entry.run_until([&] { return contains(early_caller->received, "503"); });
     CHECK(contains(early_caller->received, "Retry-After"));
-    CHECK(contains(entry.ask(request("/once/", "r2")), "503"));
+    CHECK(
+        contains(entry.send_and_receive(request_text("/once/", "r2")), "503"));
 }
 
 // Guards against request smuggling: if header fields disagree about where a
@@ -153,7 +157,8 @@
           std::string("Content-Length: 5\r\nContent-Length: 6\r\n")})
     {
         CAPTURE(fields);
-        CHECK(contains(entry.ask(head + fields + "\r\n" + hidden), " 400 "));
+        CHECK(contains(entry.send_and_receive(head + fields + "\r\n" + hidden),
+                       " 400 "));
     }
     CHECK(target.requests().empty());
 }
@@ -162,10 +167,11 @@
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", complete_response);
-    entry.ask("POST /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\nId: r1\r\n"
-              "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
-              "0\r\n\r\n",
-              "whole");
+    entry.send_and_receive(
+        "POST /once/ HTTP/1.1\r\nHost: h\r\nKey: good-key\r\nId: r1\r\n"
+        "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
+        "0\r\n\r\n",
+        "whole");
     REQUIRE(target.requests().size() == 1);
     CHECK(contains(target.requests()[0], "Content-Length: 5\r\n\r\nabcde"));
 }
@@ -178,7 +184,8 @@
     serving_fixture entry;
     auto& first = entry.add_target("plain", always_respond("", action::reset));
     auto& second = entry.add_target("plain", always_respond("", action::reset));
-    const std::string received = entry.ask(request("/once/", "r1"));
+    const std::string received =
+        entry.send_and_receive(request_text("/once/", "r1"));
     CHECK(contains(received, " 502 "));
     CHECK_FALSE(contains(received, "Retry-After"));
     CHECK(first.requests().size() + second.requests().size() == 1);
@@ -196,7 +203,9 @@
     };
     entry.add_target("plain", reset_first_request);
     entry.add_target("plain", reset_first_request);
-    CHECK(contains(entry.ask(request("/again/", "r1"), "whole"), " 200 "));
+    CHECK(
+        contains(entry.send_and_receive(request_text("/again/", "r1"), "whole"),
+                 " 200 "));
     CHECK(sent == 2);
 }
 
@@ -208,14 +217,17 @@
         [&sent](const std::string& text, std::size_t number)
     {
         return ++sent == 1
-                   ? scripted_target::response{answer("r1", "", "503 Full",
-                                                      "Not-Run: 1\r\n"),
+                   ? scripted_target::response{response_text("r1", "",
+                                                             "503 Full",
+                                                             "Not-Run: 1\r\n"),
                                                action::keep}
                    : complete_response(text, number);
     };
     entry.add_target("plain", refuse_first_request);
     entry.add_target("plain", refuse_first_request);
-    CHECK(contains(entry.ask(request("/once/", "r1"), "whole"), " 200 "));
+    CHECK(
+        contains(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+                 " 200 "));
 }
 
 TEST_CASE("a caller gets Retry-After if all targets refuse the request")
@@ -224,11 +236,13 @@
     const auto refuse_all = [](const std::string&, std::size_t)
     {
         return scripted_target::response{
-            answer("r1", "", "503 Full", "Not-Run: 1\r\n"), action::keep};
+            response_text("r1", "", "503 Full", "Not-Run: 1\r\n"),
+            action::keep};
     };
     entry.add_target("plain", refuse_all);
     entry.add_target("plain", refuse_all);
-    const std::string received = entry.ask(request("/once/", "r1"));
+    const std::string received =
+        entry.send_and_receive(request_text("/once/", "r1"));
     CHECK(contains(received, " 503 "));
     CHECK(contains(received, "Retry-After: "));
 }
@@ -245,11 +259,14 @@
                          auto response = complete_response(text, number);
                          if (number == 1)
                              response.bytes =
-                                 answer("r1", "stray") + response.bytes;
+                                 response_text("r1", "stray") + response.bytes;
                          return response;
                      });
-    CHECK(contains(entry.ask(request("/once/", "r1"), "whole"), "whole"));
-    const std::string received = entry.ask(request("/once/", "r2"), "whole");
+    CHECK(
+        contains(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+                 "whole"));
+    const std::string received =
+        entry.send_and_receive(request_text("/once/", "r2"), "whole");
     CHECK(contains(received, "Id: r2"));
     CHECK_FALSE(contains(received, "stray"));
 }
@@ -262,17 +279,19 @@
                          [](const std::string& text, std::size_t number)
                          {
                              auto response = complete_response(text, number);
-                             response.bytes += answer("r1", "extra");
+                             response.bytes += response_text("r1", "extra");
                              return response;
                          });
-    CHECK_FALSE(contains(entry.ask(request("/once/", "r1"), "whole"), "extra"));
-    entry.ask(request("/once/", "r2"), "whole");
+    CHECK_FALSE(
+        contains(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+                 "extra"));
+    entry.send_and_receive(request_text("/once/", "r2"), "whole");
     CHECK(target.connections() == 2);
 }
 
 TEST_CASE("truncated, malformed and unsigned answers are rejected")
 {
-    const std::string truncated = answer("r1", "whole").substr(0, 57);
+    const std::string truncated = response_text("r1", "whole").substr(0, 57);
     const std::string no_length =
         "HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nhalf";
     for (const auto& [bytes, after_send] :
@@ -280,12 +299,13 @@
           std::pair{truncated, action::reset},
           std::pair{no_length, action::reset},
           std::pair{std::string("\x01\x02 spoiled\r\n\r\n"), action::close},
-          std::pair{answer("r1", "x", "200 OK", ""), action::keep}})
+          std::pair{response_text("r1", "x", "200 OK", ""), action::keep}})
     {
         serving_fixture entry;
         entry.add_target("plain", always_respond(bytes, after_send));
         CAPTURE(bytes);
-        CHECK(contains(entry.ask(request("/once/", "r1")), " 502 "));
+        CHECK(contains(entry.send_and_receive(request_text("/once/", "r1")),
+                       " 502 "));
     }
 }
 
@@ -296,7 +316,8 @@
         "plain",
         always_respond("HTTP/1.1 200 OK\r\nId: r1\r\nSeal: s\r\n\r\nwhole",
                        action::close));
-    const std::string received = entry.ask(request("/once/", "r1"), "whole");
+    const std::string received =
+        entry.send_and_receive(request_text("/once/", "r1"), "whole");
     CHECK(contains(received, "Content-Length: 5\r\n"));
 }
 
@@ -306,7 +327,7 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", always_respond("", action::hang));
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.run_until([&] { return target.requests().size() == 1; });
     entry.time.advance(4900ms);
     entry.settle();
@@ -330,7 +351,7 @@
     entry.add_target("plain", hang_on_first_request);
     entry.add_target("plain", hang_on_first_request);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/again/", "r1"));
+    entry.send(*caller, request_text("/again/", "r1"));
     entry.run_until([&] { return sent == 1; });
     entry.time.advance(2500ms);
     entry.run_until([&] { return contains(caller->received, "whole"); });
@@ -342,7 +363,7 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", always_respond("", action::hang));
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     entry.run_until([&] { return target.requests().size() == 1; });
     caller->socket.close();
     entry.settle();
@@ -360,7 +381,7 @@
     auto& target = entry.add_target("plain", complete_response);
     entry.settle();
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     caller->socket.close();
     entry.time.advance(1500ms);
     entry.settle();
@@ -374,7 +395,7 @@
     serving_fixture entry;
     entry.add_target("plain", complete_response);
     const auto caller = entry.connect();
-    entry.send(*caller, request("/once/", "r1"));
+    entry.send(*caller, request_text("/once/", "r1"));
     caller->socket.shutdown(mangofold::serving::tcp::socket::shutdown_send);
     entry.run_until([&] { return contains(caller->received, "whole"); });
     entry.run_until([&] { return caller->is_ended; });
@@ -386,7 +407,8 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", complete_response);
     entry.context->drain.emplace(entry.time.now() - 3s, 3s, 2);
-    const std::string received = entry.ask(request("/once/", "r1"));
+    const std::string received =
+        entry.send_and_receive(request_text("/once/", "r1"));
     CHECK(contains(received, " 503 "));
     CHECK(contains(received, "Retry-After"));
     CHECK(target.requests().empty());
@@ -397,7 +419,8 @@
     serving_fixture entry;
     entry.add_target("plain", complete_response);
     entry.context->drain.emplace(entry.time.now(), 8s, 2);
-    const std::string received = entry.ask(request("/once/", "r1"), "whole");
+    const std::string received =
+        entry.send_and_receive(request_text("/once/", "r1"), "whole");
     CHECK(contains(received, "Connection: close"));
 }
 
@@ -419,12 +442,18 @@
     auto& target = entry.add_target("plain", complete_response);
     mangofold::decision::listed_target listed =
         *entry.context->directory.serving("plain").front();
-    CHECK(contains(entry.ask(request("/once/", "r1"), "whole"), "whole"));
-    CHECK(contains(entry.ask(request("/once/", "r2"), "whole"), "whole"));
+    CHECK(
+        contains(entry.send_and_receive(request_text("/once/", "r1"), "whole"),
+                 "whole"));
+    CHECK(
+        contains(entry.send_and_receive(request_text("/once/", "r2"), "whole"),
+                 "whole"));
     CHECK(target.connections() == 1);
     listed.incarnation.started_ms = 200;
     ++listed.revision;
     entry.context->directory.note(listed);
-    CHECK(contains(entry.ask(request("/once/", "r3"), "whole"), "whole"));
+    CHECK(
+        contains(entry.send_and_receive(request_text("/once/", "r3"), "whole"),
+                 "whole"));
     CHECK(target.connections() == 2);
 }
--- a/tests/serving/frame_socket_test.cpp
+++ b/tests/serving/frame_socket_test.cpp
@@ -22,7 +22,7 @@
         client.connect(acceptor.local_endpoint());
         sender = std::make_shared<frame_socket>(acceptor.accept());
         receiver = std::make_shared<frame_socket>(std::move(client));
-        start(loop, read());
+        spawn(loop, read());
     }
 
     awaitable<void> read()
--- a/tests/serving/listed_pages_test.cpp
+++ b/tests/serving/listed_pages_test.cpp
@@ -57,7 +57,7 @@
         : loop(event_loop), acceptor(event_loop)
     {
         listen_at(acceptor, {"127.0.0.1", 0});
-        start(loop, test::accept_all(loop, acceptor,
+        spawn(loop, test::accept_all(loop, acceptor,
                                      [this](tcp::socket socket)
                                      { return serve(std::move(socket)); }));
     }
@@ -69,7 +69,7 @@
         {
             error_code fault;
             const std::size_t count = co_await socket.async_read_some(
-                asio::buffer(chunk), into(fault));
+                asio::buffer(chunk), store_error_in(fault));
             if (fault)
                 co_return;
             const std::string request(chunk.data(), count);
@@ -77,7 +77,7 @@
                 continue; // Nothing changes.
             const std::string reply = answer(request);
             co_await asio::async_write(socket, asio::buffer(reply),
-                                       into(fault));
+                                       store_error_in(fault));
         }
     }
 
@@ -146,7 +146,7 @@
 {
     starting_entry entry;
     entry.source.rejected_pages = {"1"};
-    start(entry.loop, entry.reader.run());
+    spawn(entry.loop, entry.reader.run());
     entry.advance_until([&]
                         { return entry.source.requests_by_page["1"] >= 2; });
     CHECK(entry.known_targets() == 1);
@@ -162,7 +162,7 @@
 {
     starting_entry entry;
     entry.source.rejected_pages = {"1"};
-    start(entry.loop, entry.reader.run());
+    spawn(entry.loop, entry.reader.run());
     entry.advance_until([&]
                         { return entry.source.requests_by_page["1"] >= 3; });
     entry.source.rejected_pages.clear();
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -19,7 +19,8 @@
 struct outdated_entry : test::serving_fixture
 {
     outdated_entry()
-        : source(*context, source_speech), mesh(*context, source, *gathering)
+        : source(*context, source_speech),
+          mesh(*context, source, *piece_gatherer)
     {
         context->settings.max_configuration_delay = 3s;
         for (auto& other : others)
@@ -30,7 +31,7 @@
             other->holding.set_cores(1);
             mesh.add(other->address());
         }
-        start(loop, mesh.run());
+        spawn(loop, mesh.run());
     }
 
     void advance(duration total)
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -46,7 +46,7 @@
                                     const std::string& request)
     {
         if (!contains(request, "poison"))
-            return {answer(id_of(request), "whole"), end::keep};
+            return {response_text(id_of(request), "whole"), end::keep};
         ++crashes;
         context->directory.note_confirmed_removal(name, 100 + crashes);
         add();
@@ -58,7 +58,8 @@
     std::string ask_again(const std::string& path)
     {
         time.advance(500ms);
-        return ask(request(path, "r" + std::to_string(++requests_sent)));
+        return send_and_receive(
+            request_text(path, "r" + std::to_string(++requests_sent)));
     }
 
     std::string service;
@@ -77,7 +78,7 @@
                    [](const std::string& request, std::size_t)
                    {
                        return scripted_target::response{
-                           answer(id_of(request), "id: 1\ndata: e\n\n"),
+                           response_text(id_of(request), "id: 1\ndata: e\n\n"),
                            end::keep};
                    });
     }
@@ -98,7 +99,7 @@
                                     const std::string& call)
     {
         if (contains(call, "/let-go"))
-            return {answer("", ""), end::keep};
+            return {response_text("", ""), end::keep};
         const std::string body = call.substr(call.find("\r\n\r\n") + 4);
         if (contains(body, "poison"))
         {
@@ -110,7 +111,7 @@
         std::string results;
         for (std::size_t at = 0; at < body.size(); at = body.find('\n', at) + 1)
             results += address + "/" + std::to_string(++results_made) + "\n";
-        return {answer("", results), end::keep};
+        return {response_text("", results), end::keep};
     }
 
     std::size_t targets_listed = 1; // Counts the target of "events".
@@ -174,7 +175,7 @@
     {
         callers.push_back(entry.connect());
         entry.send(*callers.back(),
-                   request("/staged/" + id, id, "Pieces: 11\r\n"));
+                   request_text("/staged/" + id, id, "Pieces: 11\r\n"));
     }
     entry.settle();
     constexpr int targets = 4;
@@ -193,8 +194,8 @@
               contains(caller->received, " 200 "));
     }
     // The content is quarantined now, whatever the request id.
-    const std::string again =
-        entry.ask(request("/staged/poison1", "poison2", "Pieces: 11\r\n"));
+    const std::string again = entry.send_and_receive(
+        request_text("/staged/poison1", "poison2", "Pieces: 11\r\n"));
     CHECK(contains(again, " 503 "));
     CHECK(contains(again, "quarantined"));
     CHECK(entry.crashes <= max_crashes);
--- a/tests/serving/settings_reloader_test.cpp
+++ b/tests/serving/settings_reloader_test.cpp
@@ -39,7 +39,7 @@
 TEST_CASE("SIGHUP makes a running process apply changed settings")
 {
     settings_fixture entry;
-    start(entry.loop, entry.reloader.run());
+    spawn(entry.loop, entry.reloader.run());
     entry.settle();
     entry.written.seeds = {{"127.0.0.1", 7}};
     std::raise(SIGHUP);
@@ -50,7 +50,7 @@
 TEST_CASE("settings changed without a signal are applied")
 {
     settings_fixture entry;
-    start(entry.loop, entry.reloader.run());
+    spawn(entry.loop, entry.reloader.run());
     entry.settle();
     entry.written.grace = 5s;
     entry.time.advance(2s);
--- a/tests/serving/source_reader_test.cpp
+++ b/tests/serving/source_reader_test.cpp
@@ -23,7 +23,7 @@
           catalog(std::string(bytes - 1, '0') + "7")
     {
         listen_at(acceptor, {"127.0.0.1", 0});
-        start(loop, test::accept_all(loop, acceptor,
+        spawn(loop, test::accept_all(loop, acceptor,
                                      [this](tcp::socket socket)
                                      { return serve(std::move(socket)); }));
     }
@@ -35,7 +35,7 @@
         {
             error_code fault;
             const std::size_t count = co_await socket.async_read_some(
-                asio::buffer(chunk), into(fault));
+                asio::buffer(chunk), store_error_in(fault));
             if (fault)
                 co_return;
             const std::string request(chunk.data(), count);
@@ -59,13 +59,15 @@
         error_code fault;
         const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: " +
                                  std::to_string(body.size()) + "\r\n\r\n";
-        co_await asio::async_write(socket, asio::buffer(head), into(fault));
+        co_await asio::async_write(socket, asio::buffer(head),
+                                   store_error_in(fault));
         for (std::size_t at = 0; at < body.size() && !fault; at += part)
         {
             loop_timer timer(loop, pause);
-            co_await timer.async_wait(into(fault));
-            co_await asio::async_write(
-                socket, asio::buffer(body.data() + at, part), into(fault));
+            co_await timer.async_wait(store_error_in(fault));
+            co_await asio::async_write(socket,
+                                       asio::buffer(body.data() + at, part),
+                                       store_error_in(fault));
         }
     }
 
@@ -88,7 +90,7 @@
             "127.0.0.1", source.acceptor.local_endpoint().port()};
         context->settings.max_configuration_delay = 3s;
         context->catalog = nullptr;
-        start(loop, reader.run());
+        spawn(loop, reader.run());
     }
 
     /// Advances the time by \a time_limit, or until a catalog is in force.
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -36,11 +36,11 @@
     serving_fixture entry;
     auto& own = entry.add_target("plain", complete_response, "a");
     auto& other = entry.add_target("plain", complete_response, "b");
-    entry.ask(request("/once/", "r1"), "whole");
+    entry.send_and_receive(request_text("/once/", "r1"), "whole");
     const std::size_t before = own.requests().size();
     evacuate(entry, {"a"}, 5);
     for (const char* id : {"r2", "r3", "r4", "r5"})
-        entry.ask(request("/once/", id), "whole");
+        entry.send_and_receive(request_text("/once/", id), "whole");
     CHECK(own.requests().size() == before);
     CHECK(other.requests().size() >= 4);
 }
@@ -52,8 +52,8 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", complete_response, "a");
     evacuate(entry, {"a"}, 5);
-    const std::string got =
-        entry.ask(request("/once/", "r1", "Budget: 3000\r\n"), "evacuated");
+    const std::string got = entry.send_and_receive(
+        request_text("/once/", "r1", "Budget: 3000\r\n"), "evacuated");
     CHECK(contains(got, "503"));
     CHECK(contains(got, "Retry-After: 0.9"));
     CHECK(target.requests().empty());
@@ -67,9 +67,9 @@
     entry.add_target("events", complete_response, "b");
     entry.add_target("pieces", complete_response, "a");
     evacuate(entry, {"a"}, 5);
-    const std::string got =
-        entry.ask(request("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
-                  "evacuated");
+    const std::string got = entry.send_and_receive(
+        request_text("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
+        "evacuated");
     CHECK(contains(got, "503"));
     CHECK(entry.jobs.empty());
 }
@@ -83,12 +83,12 @@
     entry.add_target("events", complete_response, "b");
     auto& maker = entry.add_target("pieces", no_answer, "a");
     const auto first = entry.connect();
-    entry.send(*first,
-               request("/staged/", "r1", "Pieces: 81\r\nBudget: 3000\r\n"));
+    entry.send(*first, request_text("/staged/", "r1",
+                                    "Pieces: 81\r\nBudget: 3000\r\n"));
     entry.run_until([&] { return maker.requests().size() == 1; });
     const auto second = entry.connect();
-    entry.send(*second,
-               request("/staged/", "r2", "Pieces: 81\r\nBudget: 3000\r\n"));
+    entry.send(*second, request_text("/staged/", "r2",
+                                     "Pieces: 81\r\nBudget: 3000\r\n"));
     entry.run_until([&] { return entry.jobs.size() == 2; });
     evacuate(entry, {"a"}, 5);
     entry.time.advance(30ms);
@@ -102,26 +102,29 @@
 {
     serving_fixture entry;
     std::size_t made = 0;
-    entry.add_target("pieces",
-                     [&made](const std::string&, std::size_t)
-                     {
-                         return scripted_target::response{
-                             answer("", "x/" + std::to_string(++made) + "\n"),
-                             end::keep};
-                     });
+    entry.add_target(
+        "pieces",
+        [&made](const std::string&, std::size_t)
+        {
+            return scripted_target::response{
+                response_text("", "x/" + std::to_string(++made) + "\n"),
+                end::keep};
+        });
     const auto full = [&entry](const std::string&, std::size_t number)
     {
         evacuate(entry, {"a"}, 5);
         return number == 0
-                   ? scripted_target::response{answer("r1", "", "503 Full",
-                                                      "Not-Run: 1\r\n"),
+                   ? scripted_target::response{response_text("r1", "",
+                                                             "503 Full",
+                                                             "Not-Run: 1\r\n"),
                                                end::keep}
                    : scripted_target::response{};
     };
     auto& first = entry.add_target("events", full, "b");
     auto& second = entry.add_target("events", full, "b");
-    entry.ask(request("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
-              "targets_full");
+    entry.send_and_receive(
+        request_text("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
+        "targets_full");
     CHECK(made == 2);
     CHECK(first.requests().size() + second.requests().size() >= 1);
 }
@@ -133,7 +136,8 @@
     serving_fixture entry;
     auto& target = entry.add_target("plain", complete_response);
     entry.context->evacuations = {};
-    CHECK(contains(entry.ask(request("/once/", "r1")), "503"));
+    CHECK(
+        contains(entry.send_and_receive(request_text("/once/", "r1")), "503"));
     CHECK(target.requests().empty());
 }
 
@@ -150,7 +154,7 @@
                                     serving::read_zones(message), "e");
     CHECK(entry.context->evacuations == other.context->evacuations);
     auto& target = entry.add_target("plain", complete_response, "a");
-    entry.ask(request("/once/", "r1"), "evacuated");
+    entry.send_and_receive(request_text("/once/", "r1"), "evacuated");
     CHECK(target.requests().empty());
 }
 
@@ -179,7 +183,7 @@
     entry.context->cold_targets.note_cold("t1", 10s, entry.time.now());
     entry.context->cold_targets.note_sent("t1", {3s, 16}, 12, entry.time.now());
     const auto patient = entry.connect();
-    entry.send(*patient, request("/events/", "r1", "Budget: 3000\r\n"));
+    entry.send(*patient, request_text("/events/", "r1", "Budget: 3000\r\n"));
     entry.settle();
     CHECK(target.requests().empty());
     for (int step = 0; step < 110; ++step)
@@ -188,8 +192,8 @@
         entry.loop.run_for(1ms);
     }
     CHECK(target.requests().size() == 1);
-    const std::string got = entry.ask(
-        request("/events/", "r2", "Budget: 1000\r\n"), "targets_cold");
+    const std::string got = entry.send_and_receive(
+        request_text("/events/", "r2", "Budget: 1000\r\n"), "targets_cold");
     CHECK(contains(got, "503"));
     CHECK(target.requests().size() == 1);
 }
--- a/tests/support/complete_responses.hpp
+++ b/tests/support/complete_responses.hpp
@@ -20,7 +20,7 @@
 {
     const std::size_t at = request.find("Id: ") + 4;
     const std::string id = request.substr(at, request.find('\r', at) - at);
-    return {answer(id, "whole"),
+    return {response_text(id, "whole"),
             scripted_target::response::connection_action::keep};
 }
 
--- a/tests/support/fake_entry.hpp
+++ b/tests/support/fake_entry.hpp
@@ -17,8 +17,8 @@
 using serving::error_code;
 using serving::frame_socket;
 using serving::frame_socket_ptr;
-using serving::into;
-using serving::start;
+using serving::spawn;
+using serving::store_error_in;
 using serving::tcp;
 
 /// A fake peer entry: records the jobs and catalogs that it is asked for, and
@@ -29,7 +29,7 @@
         : loop(io_context),
           acceptor(loop, {asio::ip::address_v4::loopback(), 0})
     {
-        start(loop, accept_all(loop, acceptor,
+        spawn(loop, accept_all(loop, acceptor,
                                [this](tcp::socket socket)
                                { return serve(std::move(socket)); }));
     }
--- a/tests/support/scripted_target.cpp
+++ b/tests/support/scripted_target.cpp
@@ -33,7 +33,7 @@
       m_acceptor(loop, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
       m_script(std::move(respond))
 {
-    start(loop, accept());
+    spawn(loop, accept());
 }
 
 std::string scripted_target::address() const
@@ -46,11 +46,12 @@
     for (;;)
     {
         error_code fault;
-        tcp::socket socket = co_await m_acceptor.async_accept(into(fault));
+        tcp::socket socket =
+            co_await m_acceptor.async_accept(store_error_in(fault));
         if (fault)
             co_return;
         ++m_connections;
-        start(m_loop, serve(std::move(socket)));
+        spawn(m_loop, serve(std::move(socket)));
     }
 }
 
@@ -61,8 +62,8 @@
     for (;;)
     {
         error_code fault;
-        const std::size_t count =
-            co_await socket.async_read_some(asio::buffer(chunk), into(fault));
+        const std::size_t count = co_await socket.async_read_some(
+            asio::buffer(chunk), store_error_in(fault));
         if (fault)
         {
             ++m_closed;
@@ -78,7 +79,7 @@
             m_script(m_requests.back(), m_requests.size() - 1);
         if (!reply.bytes.empty())
             co_await asio::async_write(socket, asio::buffer(reply.bytes),
-                                       into(fault));
+                                       store_error_in(fault));
         if (reply.action == response::connection_action::reset)
             socket.set_option(asio::socket_base::linger(true, 0), fault);
         if (reply.action == response::connection_action::reset ||
