--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// One stand-in with its server.
+/// A simulated platform or target and the HTTP server that exposes it.
 class standin
 {
 public:
@@ -29,11 +29,11 @@
         if (kind == "platform")
         {
             std::ifstream file(flags.required_text("manifest"));
-            std::ostringstream text;
-            text << file.rdbuf();
+            std::ostringstream manifest;
+            manifest << file.rdbuf();
             m_platform = std::make_unique<standins::platform>(
-                text.str(), std::chrono::milliseconds(
-                                flags.value<unsigned>("list-lag-ms")));
+                manifest.str(), std::chrono::milliseconds(
+                                    flags.value<unsigned>("list-lag-ms")));
             m_platform->add_to(m_server);
             return;
         }
@@ -60,7 +60,8 @@
 
 int main(int argc, char** argv)
 {
-    runtime::settings flags("standin: plays the platform or a target");
+    runtime::settings flags(
+        "standin: simulates the platform or a target for tests and benchmarks");
     flags.known().add_options()("kind", po::value<std::string>())(
         "id", po::value<std::string>()->default_value("platform"))(
         "listen", po::value<std::string>())("manifest",
@@ -78,9 +79,9 @@
         return runtime::run_until_signalled(
             [&] { return std::make_unique<standin>(flags); });
     }
-    catch (const std::exception& fault)
+    catch (const std::exception& error)
     {
-        std::cerr << "standin: " << fault.what() << '\n';
+        std::cerr << "standin: " << error.what() << '\n';
         return runtime::exit_bad_settings;
     }
 }
--- a/standins/platform.hpp
+++ b/standins/platform.hpp
@@ -13,15 +13,17 @@
 namespace mangofold::standins
 {
 
-/// The platform's configuration service and its lagging instance list. Both
-/// can only be read by the system; "/control" is for experiments.
+/// Simulates the platform's configuration service and its instance list, which
+/// shows changes late. The system only reads both; tests and benchmarks change
+/// them through "/control".
 class platform
 {
 public:
-    /// Serves the manifest in \a body. The instance list shows a change
-    /// after \a list_lag.
-    platform(std::string body, std::chrono::milliseconds list_lag);
+    /// Serves \a manifest. The instance list shows a change after a delay of
+    /// \a list_lag.
+    platform(std::string manifest, std::chrono::milliseconds list_lag);
 
+    /// Registers the handlers of the simulated services with \a server.
     void add_to(runtime::http_server& server);
 
 private:
@@ -34,14 +36,14 @@
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::string m_body;
-    std::string m_published;
+    std::string m_manifest;
+    std::string m_published_manifest;
     std::uint64_t m_generation = 0;
     bool m_is_down = false;
     bool m_is_stale = false;
-    std::uint64_t m_reads = 0;
+    std::uint64_t m_read_count = 0;
     std::chrono::milliseconds m_list_lag;
-    std::map<std::string, time_point> m_leaving;
+    std::map<std::string, time_point> m_leaving_since;
 };
 
 } // namespace mangofold::standins
--- a/standins/target.cpp
+++ b/standins/target.cpp
@@ -10,14 +10,15 @@
 
 using nlohmann::json;
 
-std::string key_of(const json& message)
+std::string attempt_key(const json& message)
 {
     return message.value("account", "") + "/" +
            message.value("request_id", "") + "/" + message.value("stage", "") +
            "/" + std::to_string(message.value("attempt", 0));
 }
 
-// Output that names its request, so that a checker sees a mix-up.
+// The output holds the request id, so that a checker detects a result that went
+// to another request.
 json output_for(const std::string& kind, const json& message)
 {
     const std::string id = message.value("request_id", "");
@@ -40,16 +41,17 @@
     : m_id(std::move(id)), m_kind(std::move(kind)), m_behaviour(initial)
 {
     if (!record_file.empty())
-        m_record.open(record_file, std::ios::app);
+        m_record_file.open(record_file, std::ios::app);
 }
 
 void target::add_to(runtime::http_server& server)
 {
-    server.set_handler("/v1/run", [this](const auto& r) { return run(r); });
+    server.set_handler("/v1/run",
+                       [this](const auto& request) { return run(request); });
     server.set_handler("/v1/cancel",
-                       [this](const auto& r) { return cancel(r); });
-    server.set_handler("/control",
-                       [this](const auto& r) { return control(r); });
+                       [this](const auto& request) { return cancel(request); });
+    server.set_handler("/control", [this](const auto& request)
+                       { return control(request); });
 }
 
 runtime::http_reply target::run(const runtime::http_request& request)
@@ -57,11 +59,12 @@
     const json message = json::parse(request.body, nullptr, false);
     if (!message.is_object())
         return {400, "application/json", R"({"ran":false})", 0};
-    const std::string key = key_of(message);
+    const std::string key = attempt_key(message);
     {
         std::unique_lock lock(m_mutex);
-        m_changed.wait(lock, [this] { return m_running < m_behaviour.slots; });
-        ++m_running;
+        m_changed.wait(lock,
+                       [this] { return m_run_count < m_behaviour.slots; });
+        ++m_run_count;
         const auto end = std::chrono::steady_clock::now() +
                          std::chrono::milliseconds(m_behaviour.service_ms) *
                              m_behaviour.slow_factor;
@@ -77,10 +80,10 @@
                      {"stage", message.value("stage", "")},
                      {"attempt", message.value("attempt", 0)}}
                     .dump());
-        m_changed.wait_until(lock, end,
-                             [&] { return m_cancelled.contains(key); });
-        m_cancelled.erase(key);
-        --m_running;
+        m_changed.wait_until(
+            lock, end, [&] { return m_cancelled_attempts.contains(key); });
+        m_cancelled_attempts.erase(key);
+        --m_run_count;
     }
     m_changed.notify_all();
     if (m_behaviour.is_failing)
@@ -98,7 +101,7 @@
     if (message.is_object())
     {
         const std::lock_guard lock(m_mutex);
-        m_cancelled.insert(key_of(message));
+        m_cancelled_attempts.insert(attempt_key(message));
     }
     m_changed.notify_all();
     return {};
@@ -125,8 +128,8 @@
 void target::record(const std::string& line)
 {
     const std::lock_guard lock(m_record_mutex);
-    if (m_record.is_open())
-        m_record << line << std::endl;
+    if (m_record_file.is_open())
+        m_record_file << line << std::endl;
 }
 
 } // namespace mangofold::standins
--- a/standins/target.hpp
+++ b/standins/target.hpp
@@ -13,23 +13,27 @@
 namespace mangofold::standins
 {
 
-/// How a stand-in target behaves; can be changed while it runs.
+/// The behaviour of a simulated target. "/control" can change it at run time,
+/// except for the number of slots.
 struct behaviour
 {
-    unsigned service_ms = 0;  ///< Time of a run.
-    unsigned slots = 1;       ///< Runs at once; more wait.
-    unsigned slow_factor = 1; ///< Times that by which a run is slower.
-    bool is_failing = false;  ///< Answers every run with an error.
+    unsigned service_ms = 0;  ///< Duration of a run.
+    unsigned slots = 1;       ///< Concurrent runs; further ones wait.
+    unsigned slow_factor = 1; ///< Multiplies the duration of a run.
+    bool is_failing = false;  ///< Answers every run with status 500.
 };
 
-/// A target that works by sleeping. It records what it really ran, as one
-/// line for each run, for a checker.
+/// Simulates a target: sleeps for the duration of a run and returns an output
+/// for it. Appends one line to a record file for each run that does not fail,
+/// from which a checker learns which runs took place.
 class target
 {
 public:
+    /// Records no runs if \a record_file is empty.
     target(std::string id, std::string kind, behaviour initial,
            const std::string& record_file);
 
+    /// Registers the handlers of the target with \a server.
     void add_to(runtime::http_server& server);
 
 private:
@@ -43,10 +47,10 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     behaviour m_behaviour;
-    unsigned m_running = 0;
-    std::set<std::string> m_cancelled;
+    unsigned m_run_count = 0;
+    std::set<std::string> m_cancelled_attempts;
     std::mutex m_record_mutex;
-    std::ofstream m_record;
+    std::ofstream m_record_file;
 };
 
 } // namespace mangofold::standins
