--- a/tests/platform/dialect_test.cpp
+++ b/tests/platform/dialect_test.cpp
@@ -34,54 +34,54 @@
 
 serving::http_request caller_request()
 {
-    serving::http_request made{serving::http::verb::post, "/a/2f?q=1", 11};
-    made.set("Host", "Jepu9.example:80");
-    made.set("X-Mangofold-Request-Id", "9c41");
-    made.set("X-Mangofold-Time-Budget-Ms", "1500");
-    made.set("X-Mangofold-Prompt-Prefix", "5c:800, 91:410,e4:250");
-    made.set("X-Mangofold-Token-Count", "1460,80");
-    made.set("X-Mangofold-Pieces", "2,0,6");
-    made.set("X-Mangofold-Piece-Key", "7c1e");
-    made.set("Authorization", "Bearer secret");
-    made.set("X-Mangofold-Tenant", "somebody");
-    made.set("X-Mangofold-Hold", "h");
-    made.set("Kv-From", "x");
-    made.set("Connection", "keep-alive, X-Private");
-    made.set("X-Private", "1");
-    made.set("X-Other", "2");
-    return made;
+    serving::http_request request{serving::http::verb::post, "/a/2f?q=1", 11};
+    request.set("Host", "Jepu9.example:80");
+    request.set("X-Mangofold-Request-Id", "9c41");
+    request.set("X-Mangofold-Time-Budget-Ms", "1500");
+    request.set("X-Mangofold-Prompt-Prefix", "5c:800, 91:410,e4:250");
+    request.set("X-Mangofold-Token-Count", "1460,80");
+    request.set("X-Mangofold-Pieces", "2,0,6");
+    request.set("X-Mangofold-Piece-Key", "7c1e");
+    request.set("Authorization", "Bearer secret");
+    request.set("X-Mangofold-Tenant", "somebody");
+    request.set("X-Mangofold-Hold", "h");
+    request.set("Kv-From", "x");
+    request.set("Connection", "keep-alive, X-Private");
+    request.set("X-Private", "1");
+    request.set("X-Other", "2");
+    return request;
 }
 
 } // namespace
 
-TEST_CASE("the operator's configuration is read")
+TEST_CASE("the catalog is parsed from the operator's configuration")
 {
-    const catalog::document read = platform::read_catalog(configuration);
-    CHECK(read.version == 7);
-    REQUIRE(read.routes.size() == 2);
-    const catalog::route& first = read.routes[0];
-    CHECK(first.host == "jepu9.example");
-    CHECK(first.is_stream);
-    CHECK(first.is_resumable);
-    CHECK_FALSE(first.is_repeatable);
-    CHECK(first.timeout == 6s);
-    CHECK(first.aim == 1900ms);
-    CHECK(first.patience == 7600ms);
-    CHECK(read.routes[1].patience == 0ms);
-    REQUIRE(first.stages.size() == 2);
-    CHECK(first.stages[1].after == std::vector<std::size_t>{0});
-    CHECK(read.routes[1].is_repeatable);
-    CHECK(read.routes[1].services.size() == 2);
-    REQUIRE(read.services[1].calls);
-    CHECK(read.services[1].calls->per_piece == 11500us);
-    CHECK(read.services[1].calls->room_bytes == 36000000);
-    CHECK(read.services[0].engine->slots == 96);
-    CHECK(read.limits.header_bytes == 100);
-    CHECK(read.checks_keys);
-    CHECK(read.accounts[0].keys.size() == 2);
+    const catalog::document document = platform::read_catalog(configuration);
+    CHECK(document.version == 7);
+    REQUIRE(document.routes.size() == 2);
+    const catalog::route& first_route = document.routes[0];
+    CHECK(first_route.host == "jepu9.example");
+    CHECK(first_route.is_stream);
+    CHECK(first_route.is_resumable);
+    CHECK_FALSE(first_route.is_repeatable);
+    CHECK(first_route.timeout == 6s);
+    CHECK(first_route.aim == 1900ms);
+    CHECK(first_route.patience == 7600ms);
+    CHECK(document.routes[1].patience == 0ms);
+    REQUIRE(first_route.stages.size() == 2);
+    CHECK(first_route.stages[1].after == std::vector<std::size_t>{0});
+    CHECK(document.routes[1].is_repeatable);
+    CHECK(document.routes[1].services.size() == 2);
+    REQUIRE(document.services[1].calls);
+    CHECK(document.services[1].calls->per_piece == 11500us);
+    CHECK(document.services[1].calls->room_bytes == 36000000);
+    CHECK(document.services[0].engine->slots == 96);
+    CHECK(document.limits.header_bytes == 100);
+    CHECK(document.checks_keys);
+    CHECK(document.accounts[0].keys.size() == 2);
 }
 
-TEST_CASE("a configuration that cannot be read says why")
+TEST_CASE("an unreadable configuration throws an error")
 {
     for (const char* text :
          {"", "{", "[]", "{\"version\":\"x\"}",
@@ -90,7 +90,7 @@
         CHECK_THROWS_AS(platform::read_catalog(text), serving::facts_error);
 }
 
-TEST_CASE("what a caller's request says is read")
+TEST_CASE("the facts of a caller's request are parsed from its headers")
 {
     const auto facts = platform::request_dialect().facts(caller_request());
     CHECK(facts.id == "9c41");
@@ -102,34 +102,35 @@
     CHECK(facts.prompt[1] == serving::prompt_part{"91", 410});
     CHECK(facts.most_tokens_out == 80);
     CHECK(facts.pieces == std::vector<std::uint32_t>{2, 0, 6});
-    auto bad = caller_request();
-    bad.set("X-Mangofold-Time-Budget-Ms", "soon");
-    CHECK_THROWS_AS(platform::request_dialect().facts(bad),
+    auto unreadable = caller_request();
+    unreadable.set("X-Mangofold-Time-Budget-Ms", "soon");
+    CHECK_THROWS_AS(platform::request_dialect().facts(unreadable),
                     serving::facts_error);
 }
 
-// Another account's name, or the caller's secret, reaches a target.
-TEST_CASE("a target sees the system's marks and not the caller's")
+// Guards against a target that gets the caller's API key, or an account name or
+// another reserved header that the caller set.
+TEST_CASE("reserved headers of a caller are replaced by those of the system")
 {
     serving::send_marks marks;
     marks.target_id = "i-1";
     marks.budget = 900ms;
     marks.account = "t";
     marks.inputs = std::vector<std::string>{"a:1/x", "b:2/y"};
-    const auto sent =
+    const auto headers =
         platform::request_dialect().forwarded(caller_request(), marks);
-    CHECK(sent["X-Mangofold-Target-Instance"] == "i-1");
-    CHECK(sent["X-Mangofold-Time-Budget-Ms"] == "900");
-    CHECK(sent["X-Mangofold-Tenant"] == "t");
-    CHECK(sent["X-Mangofold-Inputs"] == "a:1/x,b:2/y");
-    CHECK(sent["X-Mangofold-Request-Id"] == "9c41");
-    CHECK(sent["X-Other"] == "2");
+    CHECK(headers["X-Mangofold-Target-Instance"] == "i-1");
+    CHECK(headers["X-Mangofold-Time-Budget-Ms"] == "900");
+    CHECK(headers["X-Mangofold-Tenant"] == "t");
+    CHECK(headers["X-Mangofold-Inputs"] == "a:1/x,b:2/y");
+    CHECK(headers["X-Mangofold-Request-Id"] == "9c41");
+    CHECK(headers["X-Other"] == "2");
     for (const char* name : {"Authorization", "X-Mangofold-Hold", "Kv-From",
                              "X-Private", "Connection"})
-        CHECK(sent.count(name) == 0);
+        CHECK(headers.count(name) == 0);
 }
 
-TEST_CASE("a target's answer is understood")
+TEST_CASE("the headers of a target's response are parsed")
 {
     serving::http_answer_head head;
     head.result(421);
@@ -145,16 +146,16 @@
     CHECK(facts.idle_time == 7s);
 }
 
-TEST_CASE("calls of pieces and their results")
+TEST_CASE("calls for pieces are written and their results parsed")
 {
-    const platform::request_dialect speech;
-    const auto call = speech.make_pieces(
+    const platform::request_dialect dialect;
+    const auto call = dialect.make_pieces(
         "i-9", {{"r1", 0, 2, 900ms, "key", {}}, {"r2", 2, 0, 1s, "", {"a/b"}}});
     CHECK(call.body() ==
           R"({"items":[{"id":"r1","key":"key","left_ms":900,"piece":2,)"
           R"("stage":0},{"id":"r2","inputs":["a/b"],"left_ms":1000,)"
           R"("piece":0,"stage":2}]})");
-    const auto results = speech.piece_results(
+    const auto results = dialect.piece_results(
         R"({"items":[{"handle":"a:1/x"},{"why":"gone"},{"why":"room"},)"
         R"({"why":"late"},{"why":"error"}]})");
     using kind = serving::piece_result::kind;
@@ -164,11 +165,11 @@
     CHECK(results[2].what == kind::no_room);
     CHECK(results[3].what == kind::late);
     CHECK(results[4].what == kind::failed);
-    CHECK_THROWS_AS(speech.piece_results("spoiled"), serving::facts_error);
-    CHECK(speech.maker_of("10.0.0.1:80/ab") == "10.0.0.1:80");
+    CHECK_THROWS_AS(dialect.piece_results("spoiled"), serving::facts_error);
+    CHECK(dialect.maker_of("10.0.0.1:80/ab") == "10.0.0.1:80");
 }
 
-TEST_CASE("the store's pages and changes are read")
+TEST_CASE("pages and changes of the store are parsed")
 {
     const platform::store_dialect store;
     // {"backend":"s","address":"10.0.0.1:80","zone":"a","version":"v1",
@@ -204,7 +205,7 @@
     CHECK_THROWS_AS(store.targets_page("<html>"), serving::facts_error);
 }
 
-TEST_CASE("evacuated zones are read with the catalog, and as they change")
+TEST_CASE("evacuated zones are parsed from declarations and from changes")
 {
     const platform::store_dialect store;
     CHECK(store.read_declarations("op/config").target() ==
@@ -228,25 +229,25 @@
     CHECK(changes.changes[1].zone == decision::zone_state{"north-b", 13, true});
 }
 
-TEST_CASE("settings that cannot be used say why")
+TEST_CASE("unusable settings throw an error, usable ones are parsed")
 {
     const std::string path = "settings_test.toml";
-    const auto write = [&path](const std::string& text)
+    const auto write_file = [&path](const std::string& text)
     { std::ofstream(path) << text; };
-    write("node_name = 3");
+    write_file("node_name = 3");
     CHECK_THROWS_AS(platform::read_settings(path), serving::settings_error);
-    write("node_name = \"n\"\nzone = \"z\"\nregion = \"r\"\n[bind]\n"
-          "frontend = \"nowhere\"");
+    write_file("node_name = \"n\"\nzone = \"z\"\nregion = \"r\"\n[bind]\n"
+               "frontend = \"nowhere\"");
     CHECK_THROWS_AS(platform::read_settings(path), serving::settings_error);
-    write("node_name = \"n\"\nzone = \"z\"\nregion = \"r\"\n"
-          "seeds = [\"10.0.0.1:5\"]\n[bind]\nfrontend = \"10.0.0.1:1\"\n"
-          "readiness = \"10.0.0.1:2\"\ncontrol_plane = \"10.0.0.1:3\"\n"
-          "[platform]\naddress = \"10.0.0.2:4\"\n[bounds]\ngrace_s = 8\n"
-          "budget_ratio = 0.2\nnew_one = true\n");
-    const auto read = platform::read_settings(path);
-    CHECK(read.callers.text() == "10.0.0.1:1");
-    CHECK(read.grace == 8s);
-    CHECK(read.retry_share == 0.2);
-    CHECK(read.seeds.size() == 1);
+    write_file("node_name = \"n\"\nzone = \"z\"\nregion = \"r\"\n"
+               "seeds = [\"10.0.0.1:5\"]\n[bind]\nfrontend = \"10.0.0.1:1\"\n"
+               "readiness = \"10.0.0.1:2\"\ncontrol_plane = \"10.0.0.1:3\"\n"
+               "[platform]\naddress = \"10.0.0.2:4\"\n[bounds]\ngrace_s = 8\n"
+               "budget_ratio = 0.2\nnew_one = true\n");
+    const auto settings = platform::read_settings(path);
+    CHECK(settings.callers.text() == "10.0.0.1:1");
+    CHECK(settings.grace == 8s);
+    CHECK(settings.retry_share == 0.2);
+    CHECK(settings.seeds.size() == 1);
     std::remove(path.c_str());
 }
--- a/tests/platform/target_entry_test.cpp
+++ b/tests/platform/target_entry_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-json good()
+json valid_entry()
 {
     return {{"backend", "s"},       {"address", "10.0.0.1:80"},
             {"zone", "a"},          {"version", "v1"},
@@ -26,9 +26,10 @@
 std::string encoded(const std::string& text)
 {
     namespace base64 = boost::beast::detail::base64;
-    std::string made(base64::encoded_size(text.size()), '\0');
-    made.resize(base64::encode(made.data(), text.data(), text.size()));
-    return made;
+    std::string encoded_text(base64::encoded_size(text.size()), '\0');
+    encoded_text.resize(
+        base64::encode(encoded_text.data(), text.data(), text.size()));
+    return encoded_text;
 }
 
 json item(const std::string& id, const std::string& text)
@@ -36,22 +37,23 @@
     return {{"key", "servers/" + id}, {"value", encoded(text)}, {"rev", 7}};
 }
 
-/// Returns what a page says whose second item holds \a text.
-std::vector<serving::source_change> page_with(const std::string& text,
-                                              const std::string& id = "i-2")
+/// Returns the changes parsed from a page with three items, of which the second
+/// holds \a text under the key of \a id.
+std::vector<serving::source_change>
+changes_of_page(const std::string& text, const std::string& id = "i-2")
 {
     const json page{{"items",
-                     {item("i-1", good().dump()), item(id, text),
-                      item("i-3", good().dump())}},
+                     {item("i-1", valid_entry().dump()), item(id, text),
+                      item("i-3", valid_entry().dump())}},
                     {"current_rev", 9}};
     return platform::store_dialect().targets_page(page.dump()).changes;
 }
 
 entry_fault fault_of(const std::string& text, const std::string& id = "i-2")
 {
-    const auto changes = page_with(text, id);
+    const auto changes = changes_of_page(text, id);
     REQUIRE(changes.size() == 3);
-    // Whatever stands beside it holds.
+    // The other items of the page are not affected.
     CHECK(changes[0].what == kind::target);
     CHECK(changes[2].what == kind::target);
     CHECK(changes[2].target.address == "10.0.0.1:80");
@@ -63,69 +65,71 @@
     return changes[1].fault;
 }
 
-entry_fault fault_with(const char* name, const json& value)
+entry_fault fault_with_field(const char* name, const json& value)
 {
-    json entry = good();
+    json entry = valid_entry();
     entry[name] = value;
     return fault_of(entry.dump());
 }
 
 } // namespace
 
-// Callers get "no target" from a whole service, or an entry ends.
-// 1. Somebody else writes an entry into the list. 2. It cannot be read as a
-// target. 3. The whole page was thrown away with it, again and again.
-TEST_CASE("an entry that names no target leaves all others as they are")
+// Guards against requests of a whole service that fail with "no target", and
+// against an entry process that ends. A client other than a target wrote an
+// unreadable entry into the list, and each read discarded the whole page.
+TEST_CASE("an unreadable entry does not affect other entries of its page")
 {
-    CHECK(fault_of(good().dump()) == entry_fault::none);
+    CHECK(fault_of(valid_entry().dump()) == entry_fault::none);
     CHECK(fault_of("") == entry_fault::bytes);
     CHECK(fault_of("\xff\xfe{") == entry_fault::bytes);
     CHECK(fault_of("[1,2]") == entry_fault::bytes);
-    CHECK(fault_of(good().dump().substr(0, 60)) == entry_fault::bytes);
-    CHECK(fault_with("state", "sleeping") == entry_fault::state);
-    CHECK(fault_with("address", "somewhere") == entry_fault::address);
-    CHECK(fault_with("address", "10.0.0.1:99999") == entry_fault::address);
+    CHECK(fault_of(valid_entry().dump().substr(0, 60)) == entry_fault::bytes);
+    CHECK(fault_with_field("state", "sleeping") == entry_fault::state);
+    CHECK(fault_with_field("address", "somewhere") == entry_fault::address);
+    CHECK(fault_with_field("address", "10.0.0.1:99999") ==
+          entry_fault::address);
     for (const char* name : {"backend", "address", "zone", "version",
                              "capacity", "state", "sequence", "warmup_left_ms"})
     {
         CAPTURE(name);
-        json entry = good();
+        json entry = valid_entry();
         entry.erase(name);
         CHECK(fault_of(entry.dump()) == entry_fault::fields);
-        CHECK(fault_with(name, nullptr) == entry_fault::fields);
-        CHECK(fault_with(name, json::array()) == entry_fault::fields);
+        CHECK(fault_with_field(name, nullptr) == entry_fault::fields);
+        CHECK(fault_with_field(name, json::array()) == entry_fault::fields);
     }
     for (const json& value : {json("12"), json(-3), json(1.5)})
     {
-        CHECK(fault_with("born", value) == entry_fault::fields);
-        CHECK(fault_with("capacity", value) == entry_fault::fields);
+        CHECK(fault_with_field("born", value) == entry_fault::fields);
+        CHECK(fault_with_field("capacity", value) == entry_fault::fields);
     }
-    CHECK(fault_with("capacity", 0) == entry_fault::fields);
-    CHECK(fault_with("capacity", 1ULL << 40U) == entry_fault::fields);
+    CHECK(fault_with_field("capacity", 0) == entry_fault::fields);
+    CHECK(fault_with_field("capacity", 1ULL << 40U) == entry_fault::fields);
 }
 
-TEST_CASE("an entry without the time of its start is one of a target")
+TEST_CASE("an entry without a start time or with unknown fields is valid")
 {
-    json entry = good();
+    json entry = valid_entry();
     entry.erase("born");
     entry["new_field"] = "any";
     CHECK(fault_of(entry.dump()) == entry_fault::none);
 }
 
-// A target sees a header that no caller sent.
-TEST_CASE("an id that could end a header's line names no target")
+// Guards against header injection: a target got a header that no caller sent.
+TEST_CASE("a target id that could end a header line is refused")
 {
-    CHECK(fault_of(good().dump(), "i-2\r\nX: y") == entry_fault::fields);
-    CHECK(fault_of(good().dump(), "i 2") == entry_fault::fields);
-    CHECK(fault_of(good().dump(), "") == entry_fault::fields);
+    CHECK(fault_of(valid_entry().dump(), "i-2\r\nX: y") == entry_fault::fields);
+    CHECK(fault_of(valid_entry().dump(), "i 2") == entry_fault::fields);
+    CHECK(fault_of(valid_entry().dump(), "") == entry_fault::fields);
 }
 
-TEST_CASE("a value that is no text names no target")
+TEST_CASE("an entry whose value is not a string is unreadable")
 {
-    json bad = item("i-2", "");
-    bad["value"] = 3;
-    const json page{{"events", {bad, item("i-3", good().dump())}},
-                    {"current_rev", 9}};
+    json item_without_text = item("i-2", "");
+    item_without_text["value"] = 3;
+    const json page{
+        {"events", {item_without_text, item("i-3", valid_entry().dump())}},
+        {"current_rev", 9}};
     const auto changes =
         platform::store_dialect().changes_page(page.dump()).changes;
     REQUIRE(changes.size() == 2);
@@ -134,24 +138,24 @@
     CHECK(changes[1].what == kind::target);
 }
 
-TEST_CASE("whatever bytes an entry holds, the page is read")
+TEST_CASE("a page is parsed whatever bytes an entry holds")
 {
     CHECK(rc::check(
         [](const std::vector<char>& bytes)
         {
             const auto changes =
-                page_with(std::string(bytes.begin(), bytes.end()));
+                changes_of_page(std::string(bytes.begin(), bytes.end()));
             RC_ASSERT(changes.size() == 3U);
             RC_ASSERT(changes[1].what == kind::target_unreadable);
             RC_ASSERT(changes[2].what == kind::target);
         }));
-    // The same with one byte of a good entry changed.
+    // The same for a valid entry with one byte changed.
     CHECK(rc::check(
         [](std::size_t at, char byte)
         {
-            std::string text = good().dump();
+            std::string text = valid_entry().dump();
             text[at % text.size()] = byte;
-            const auto changes = page_with(text);
+            const auto changes = changes_of_page(text);
             RC_ASSERT(changes.size() == 3U);
             RC_ASSERT(changes[2].what == kind::target);
         }));
--- a/tests/platform/outside_bytes_test.cpp
+++ b/tests/platform/untrusted_input_test.cpp
@@ -18,32 +18,32 @@
 namespace
 {
 
-std::string text_of(const std::vector<char>& bytes)
+std::string to_string(const std::vector<char>& bytes)
 {
     return {bytes.begin(), bytes.end()};
 }
 
-/// Bytes that can stand in a header's value.
+/// Generates values of headers: bytes from the space up, without DEL.
 rc::Gen<std::string> header_value()
 {
-    return rc::gen::container<std::string>(
-        rc::gen::map(rc::gen::inRange(0, 223),
-                     [](int one)
-                     {
-                         const int printable = one < 95 ? one + 32 : one + 33;
-                         return static_cast<char>(printable);
-                     }));
+    return rc::gen::container<std::string>(rc::gen::map(
+        rc::gen::inRange(0, 223),
+        [](int index)
+        {
+            const int printable = index < 95 ? index + 32 : index + 33;
+            return static_cast<char>(printable);
+        }));
 }
 
 serving::http_request request_with(const char* name, const std::string& value)
 {
-    serving::http_request one{serving::http::verb::post, "/a/b", 11};
-    one.set("Host", "h.example");
-    one.set("X-Mangofold-Request-Id", "0123456789abcdef");
-    one.set("X-Mangofold-Pieces", "1,2");
-    one.set("X-Mangofold-Piece-Key", "7c1e");
-    one.set(name, value);
-    return one;
+    serving::http_request request{serving::http::verb::post, "/a/b", 11};
+    request.set("Host", "h.example");
+    request.set("X-Mangofold-Request-Id", "0123456789abcdef");
+    request.set("X-Mangofold-Pieces", "1,2");
+    request.set("X-Mangofold-Piece-Key", "7c1e");
+    request.set(name, value);
+    return request;
 }
 
 const char* const request_headers[] = {"Host",
@@ -56,13 +56,13 @@
                                        "Authorization",
                                        "Last-Event-Id"};
 
-/// Whether \a read gives a value or says by facts_error that it cannot.
-template<typename Read>
-bool is_read_or_refused(Read read)
+/// Whether \a parse either returns or throws facts_error.
+template<typename Parse>
+bool returns_or_throws_facts_error(Parse parse)
 {
     try
     {
-        read();
+        parse();
         return true;
     }
     catch (const serving::facts_error&)
@@ -73,32 +73,31 @@
 
 } // namespace
 
-// An entry that gathers makes no more calls at some target.
-// 1. A caller sends a key of bytes that no JSON text can hold. 2. The call that
-// holds a piece of it cannot be written. 3. Its place at the target is never
-// given back.
-TEST_CASE("a request whose names cannot be passed on is refused")
+// Guards against a leak of call slots: an entry made no more calls to a target.
+// A caller sent a piece key with bytes that JSON cannot hold, the call with a
+// piece of that request could not be written, and its slot was never released.
+TEST_CASE("a request id or piece key beyond visible ASCII is refused")
 {
-    const platform::request_dialect speech;
+    const platform::request_dialect dialect;
     for (const char* name : {"X-Mangofold-Piece-Key", "X-Mangofold-Request-Id"})
     {
         for (const char* value : {"\xff\xfe", "a b", "a\x7f"})
             CHECK_THROWS_AS(
-                serving::check_facts(speech.facts(request_with(name, value))),
+                serving::check_facts(dialect.facts(request_with(name, value))),
                 serving::facts_error);
     }
 }
 
-// An entry runs out of memory, with all its callers.
-// 1. A caller says that a stage has billions of pieces. 2. Each of them is
-// noted as waiting.
-TEST_CASE("a request with more pieces than any has is refused")
+// Guards against an entry that runs out of memory and fails the requests of all
+// its callers. A caller declared a stage with billions of pieces, and the entry
+// stored each of them as waiting.
+TEST_CASE("a request with too many pieces is refused")
 {
-    const platform::request_dialect speech;
+    const platform::request_dialect dialect;
     const auto pieces = [&](const char* value)
     {
         const auto facts =
-            speech.facts(request_with("X-Mangofold-Pieces", value));
+            dialect.facts(request_with("X-Mangofold-Pieces", value));
         serving::check_facts(facts);
         return facts.pieces;
     };
@@ -108,56 +107,56 @@
     CHECK(pieces("1,1000") == std::vector<std::uint32_t>{1, 1000});
 }
 
-// A caller's connection is reset, or a place at a target is never given back.
-// 1. A target says nonsense of how long it keeps connections. 2. Reading that
-// ended all that waited for the answer.
-TEST_CASE("an answer with an unreadable idle time is an answer")
+// Guards against a reset of the caller's connection and a leak of a slot at a
+// target. A target sent a malformed idle timeout, and the parse error ended
+// everything that waited for the response.
+TEST_CASE("a response with an unreadable idle timeout is valid")
 {
-    const platform::request_dialect speech;
+    const platform::request_dialect dialect;
     serving::http_answer answer{serving::http::status::ok, 11};
     answer.set("X-Mangofold-Response-Seal", "s");
     for (const char* value : {"timeout=", "timeout=x", "timeout=-1",
                               "timeout=99999999999999999999", "\xff"})
     {
         answer.set("Keep-Alive", value);
-        const auto facts = speech.answer(answer.base());
+        const auto facts = dialect.answer(answer.base());
         CHECK(facts.is_sealed);
         CHECK_FALSE(facts.idle_time);
     }
 }
 
-TEST_CASE("whatever a caller's headers hold, they are read or refused")
+TEST_CASE("arbitrary headers of a caller are parsed or refused")
 {
-    const platform::request_dialect speech;
+    const platform::request_dialect dialect;
     CHECK(rc::check(
         [&]
         {
             const char* name = *rc::gen::elementOf(std::vector<const char*>(
                 std::begin(request_headers), std::end(request_headers)));
             const auto request = request_with(name, *header_value());
-            RC_ASSERT(is_read_or_refused(
+            RC_ASSERT(returns_or_throws_facts_error(
                 [&]
                 {
-                    const auto facts = speech.facts(request);
+                    const auto facts = dialect.facts(request);
                     serving::check_facts(facts);
-                    // What is read can be told to a target.
+                    // Accepted values can be written into requests to a target.
                     serving::piece_order order;
                     order.request = facts.id;
                     order.key = facts.piece_key;
-                    speech.make_pieces("i-1", {order});
-                    speech.forwarded(request, {});
+                    dialect.make_pieces("i-1", {order});
+                    dialect.forwarded(request, {});
                 }));
         }));
 }
 
-TEST_CASE("whatever a target answers, it is read or refused")
+TEST_CASE("arbitrary responses of a target are parsed or refused")
 {
-    const platform::request_dialect speech;
+    const platform::request_dialect dialect;
     CHECK(rc::check(
         [&](const std::vector<char>& bytes)
         {
-            RC_ASSERT(is_read_or_refused(
-                [&] { speech.piece_results(text_of(bytes)); }));
+            RC_ASSERT(returns_or_throws_facts_error(
+                [&] { dialect.piece_results(to_string(bytes)); }));
         }));
     CHECK(rc::check(
         [&]
@@ -166,64 +165,65 @@
             for (const char* name :
                  {"Keep-Alive", "X-Mangofold-Request-Id", "Connection"})
                 answer.set(name, *header_value());
-            speech.answer(answer.base());
-            speech.returned(answer.base());
+            dialect.answer(answer.base());
+            dialect.returned(answer.base());
         }));
     for (const char* body :
          {"{}", "[]", R"({"items":3})", R"({"items":[3]})",
           R"({"items":[{"handle":3}]})", R"({"items":[{"why":[]}]})"})
-        CHECK(is_read_or_refused([&] { speech.piece_results(body); }));
+        CHECK(returns_or_throws_facts_error([&]
+                                            { dialect.piece_results(body); }));
 }
 
 namespace
 {
 
-/// Returns the bytes of \a text up to its last empty line, that line included.
-/// A line ends with a line feed, with or without a carriage return before it.
+/// Returns the bytes of \a text up to and including its last empty line. A line
+/// ends with a line feed, optionally preceded by a carriage return.
 std::string up_to_last_empty_line(std::string_view text)
 {
     for (std::size_t end = text.size(); end > 0; --end)
     {
-        std::string_view before = text.substr(0, end);
-        if (!before.ends_with('\n'))
+        std::string_view prefix = text.substr(0, end);
+        if (!prefix.ends_with('\n'))
             continue;
-        before.remove_suffix(1);
-        if (before.ends_with('\r'))
-            before.remove_suffix(1);
-        if (before.empty() || before.ends_with('\n'))
+        prefix.remove_suffix(1);
+        if (prefix.ends_with('\r'))
+            prefix.remove_suffix(1);
+        if (prefix.empty() || prefix.ends_with('\n'))
             return std::string(text.substr(0, end));
     }
     return {};
 }
 
-/// Checks what comes out of a stream that holds \a chunks, one by one.
+/// Checks the output of an event stream after each of \a chunks.
 void check_whole_events(const std::vector<std::string>& chunks)
 {
     serving::event_stream events(std::nullopt);
-    std::string all;
-    std::string out;
+    std::string input;
+    std::string output;
     for (const std::string& chunk : chunks)
     {
-        all += chunk;
-        out += events.add(chunk);
+        input += chunk;
+        output += events.add(chunk);
         if (events.is_out_of_order())
             break;
-        RC_ASSERT(out == up_to_last_empty_line(all));
-        RC_ASSERT(events.is_between_events() == (out == all));
+        RC_ASSERT(output == up_to_last_empty_line(input));
+        RC_ASSERT(events.is_between_events() == (output == input));
     }
-    RC_ASSERT(all.starts_with(out));
+    RC_ASSERT(input.starts_with(output));
 }
 
 } // namespace
 
-TEST_CASE("whatever a stream holds, whole events only come out of it")
+TEST_CASE("an event stream passes on only whole events")
 {
     CHECK(rc::check(
         [](const std::vector<std::vector<char>>& chunks)
         {
             std::vector<std::string> texts;
             for (const auto& chunk : chunks)
-                texts.push_back(text_of(chunk));
+                texts.push_back(to_string(chunk));
             check_whole_events(texts);
         }));
     CHECK(rc::check(
@@ -236,7 +236,7 @@
         }));
 }
 
-TEST_CASE("events may end with either kind of line end, or one of each")
+TEST_CASE("an event can end with LF and CRLF line ends in any combination")
 {
     for (const char* text :
          {"a\n\n", "a\r\n\r\n", "a\n\r\n", "a\r\n\n", "\n\r\n", "a\n\n\n"})
@@ -248,18 +248,21 @@
     }
 }
 
-TEST_CASE("whatever the store answers, it is read or refused")
+TEST_CASE("arbitrary responses of the store are parsed or refused")
 {
     const platform::store_dialect store;
     CHECK(rc::check(
         [&](const std::vector<char>& bytes)
         {
-            const std::string text = text_of(bytes);
-            RC_ASSERT(is_read_or_refused([&] { store.targets_page(text); }));
-            RC_ASSERT(is_read_or_refused([&] { store.changes_page(text); }));
-            RC_ASSERT(
-                is_read_or_refused([&] { store.declarations_page(text); }));
-            RC_ASSERT(is_read_or_refused([&] { store.parse_catalog(text); }));
+            const std::string text = to_string(bytes);
+            RC_ASSERT(returns_or_throws_facts_error(
+                [&] { store.targets_page(text); }));
+            RC_ASSERT(returns_or_throws_facts_error(
+                [&] { store.changes_page(text); }));
+            RC_ASSERT(returns_or_throws_facts_error(
+                [&] { store.declarations_page(text); }));
+            RC_ASSERT(returns_or_throws_facts_error(
+                [&] { store.parse_catalog(text); }));
         }));
     for (const char* text :
          {"{}", "[]", "3", R"({"items":[3],"current_rev":1})",
@@ -271,20 +274,22 @@
           R"({"version":"1","routes":[],"backends":[]})"})
     {
         CAPTURE(text);
-        CHECK(is_read_or_refused([&] { store.targets_page(text); }));
-        CHECK(is_read_or_refused([&] { store.changes_page(text); }));
-        CHECK(is_read_or_refused([&] { store.declarations_page(text); }));
-        CHECK(is_read_or_refused([&] { store.parse_catalog(text); }));
+        CHECK(returns_or_throws_facts_error([&] { store.targets_page(text); }));
+        CHECK(returns_or_throws_facts_error([&] { store.changes_page(text); }));
+        CHECK(returns_or_throws_facts_error(
+            [&] { store.declarations_page(text); }));
+        CHECK(
+            returns_or_throws_facts_error([&] { store.parse_catalog(text); }));
     }
 }
 
-TEST_CASE("whatever another entry sends, it is taken or left")
+TEST_CASE("arbitrary frames of another entry are accepted or ignored")
 {
     CHECK(rc::check(
         [](const std::vector<char>& bytes)
         {
             peer::Frame frame;
-            const std::string text = text_of(bytes);
+            const std::string text = to_string(bytes);
             if (!frame.ParseFromString(text))
                 return;
             decision::target_directory directory;
@@ -295,14 +300,14 @@
         }));
 }
 
-TEST_CASE("whatever a settings file holds, it is read or refused")
+TEST_CASE("an arbitrary settings file is parsed or refused")
 {
-    const std::string path = "outside_bytes_test.toml";
+    const std::string path = "untrusted_input_test.toml";
     CHECK(rc::check(
         [&](const std::vector<char>& bytes)
         {
-            std::ofstream(path, std::ios::binary) << text_of(bytes);
-            bool is_known = true;
+            std::ofstream(path, std::ios::binary) << to_string(bytes);
+            bool is_expected_error = true;
             try
             {
                 platform::read_settings(path);
@@ -312,9 +317,9 @@
             }
             catch (...)
             {
-                is_known = false;
+                is_expected_error = false;
             }
-            RC_ASSERT(is_known);
+            RC_ASSERT(is_expected_error);
         }));
     std::remove(path.c_str());
 }
