--- a/packages/decision/owned_run.cpp
+++ b/packages/decision/owned_run.cpp
@@ -30,7 +30,8 @@
     if (!m_ticket_target && m_owner_index >= m_owners.size())
         return give_up(reason::no_target);
     if (m_resyncs >= m_policy.max_resyncs && m_pinned_incarnation == 0)
-        return give_up(m_last_result ? m_last_result->cause : reason::no_target);
+        return give_up(m_last_result ? m_last_result->cause
+                                     : reason::no_target);
     if (now < m_earliest_send)
         return wait_until{std::min(m_earliest_send, m_deadline)};
     ++m_attempt;
--- a/packages/serving/source.hpp
+++ b/packages/serving/source.hpp
@@ -71,23 +71,24 @@
     /// follows the key \a after: the catalog and the evacuated zones.
     virtual http_request
     declarations_request(const std::string& after) const = 0;
-    /// Returns the content of an answer with declarations. Throws facts_error.
+    /// Returns the content of an answer with declarations. Throws
+    /// invalid_message.
     virtual source_page parse_declarations(std::string_view body) const = 0;
 
     /// Returns the request for the page of the target list that follows the key
     /// \a after.
     virtual http_request targets_request(const std::string& after) const = 0;
-    /// Returns the content of an answer with targets. Throws facts_error.
+    /// Returns the content of an answer with targets. Throws invalid_message.
     virtual source_page parse_targets(std::string_view body) const = 0;
 
     /// Returns the request that waits for changes after \a revision for up to
     /// \a timeout.
     virtual http_request watch_request(std::uint64_t revision,
                                        duration timeout) const = 0;
-    /// Returns the content of an answer to a watch. Throws facts_error.
+    /// Returns the content of an answer to a watch. Throws invalid_message.
     virtual source_page parse_changes(std::string_view body) const = 0;
 
-    /// Returns the catalog that \a text serializes. Throws facts_error.
+    /// Returns the catalog that \a text serializes. Throws invalid_message.
     virtual catalog::document parse_catalog(std::string_view text) const = 0;
 };
 
--- a/packages/serving/target_losses.hpp
+++ b/packages/serving/target_losses.hpp
@@ -40,8 +40,8 @@
     /// Starts over for a new connection, on which nothing was sent yet.
     void reset() { m_peer_summary = m_sent = 0; }
 
-    /// Sets the other entry's target_ends::summary(), which shows whether it
-    /// knows the same ends.
+    /// Sets the other entry's crash_log::summary(), which shows whether it
+    /// knows the same crashes.
     void set_peer_summary(std::uint64_t summary) { m_peer_summary = summary; }
 
     /// Writes the ends that the other entry may lack and that were not sent on
