--- a/packages/configuration/config_store.cpp
+++ b/packages/configuration/config_store.cpp
@@ -35,62 +35,63 @@
 
 bool config_store::offer(std::string body, source from)
 {
-    const std::lock_guard change(m_change);
+    const std::lock_guard offer_lock(m_offer_mutex);
     manifest::document parsed;
     try
     {
         parsed = manifest::parse(body);
     }
-    catch (const manifest::manifest_error& fault)
+    catch (const manifest::manifest_error& error)
     {
-        note_refused(body, fault.what(), from);
+        record_invalid(body, error.what(), from);
         return false;
     }
-    if (!judge(parsed, body, from))
+    if (!evaluate(parsed, body, from))
         return false;
-    auto fresh = std::make_shared<const snapshot>(
+    auto adopted = std::make_shared<const snapshot>(
         snapshot{std::move(parsed), std::move(body)});
     {
         const std::lock_guard lock(m_mutex);
-        m_gate.set_current(fresh->document.generation,
-                           decision::digest_of(fresh->body));
-        m_current = fresh;
+        m_gate.set_current(adopted->document.generation,
+                           decision::digest_of(adopted->body));
+        m_current = adopted;
     }
     runtime::event("configuration_in_force")
-        .with("generation", fresh->document.generation)
+        .with("generation", adopted->document.generation)
         .with("source", to_string(from))
         .info();
     m_metrics.set_gauge({"mangofold_generation", ""},
-                        static_cast<double>(fresh->document.generation));
-    for (const listener& one : m_listeners)
-        one(fresh);
+                        static_cast<double>(adopted->document.generation));
+    for (const listener& notify : m_listeners)
+        notify(adopted);
     return true;
 }
 
-bool config_store::judge(const manifest::document& parsed,
-                         const std::string& body, source from)
+bool config_store::evaluate(const manifest::document& parsed,
+                            const std::string& body, source from)
 {
     using verdict = decision::generation_gate::verdict;
+    // Label values of the metric, in the order of the enumerators.
     constexpr std::array names{"adopt", "known", "older", "conflict",
                                "refused"};
-    verdict found{};
+    verdict result{};
     {
         const std::lock_guard lock(m_mutex);
-        found = m_gate.evaluate(parsed.generation, decision::digest_of(body));
+        result = m_gate.evaluate(parsed.generation, decision::digest_of(body));
     }
     ++m_metrics.count(
         {"mangofold_configurations_offered_total",
-         runtime::label("verdict", names.at(static_cast<std::size_t>(found))) +
+         runtime::label("verdict", names.at(static_cast<std::size_t>(result))) +
              "," + runtime::label("source", to_string(from))});
-    if (found == verdict::conflict)
+    if (result == verdict::conflict)
         runtime::event("configuration_conflict")
             .with("generation", parsed.generation)
             .error();
-    return found == verdict::adopt;
+    return result == verdict::adopt;
 }
 
-void config_store::note_refused(const std::string& body,
-                                const std::string& fault, source from)
+void config_store::record_invalid(const std::string& body,
+                                  const std::string& error, source from)
 {
     bool is_new = false;
     {
@@ -100,8 +101,10 @@
     ++m_metrics.count({"mangofold_configurations_offered_total",
                        runtime::label("verdict", "bad") + "," +
                            runtime::label("source", to_string(from))});
+    // Peers and the service offer an invalid manifest again and again; only
+    // the first offer is logged.
     if (is_new)
-        runtime::event("configuration_refused").with("fault", fault).error();
+        runtime::event("configuration_refused").with("fault", error).error();
 }
 
 } // namespace mangofold::configuration
--- a/packages/configuration/platform_reader.cpp
+++ b/packages/configuration/platform_reader.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::chrono::milliseconds read_timeout{1'000};
 constexpr unsigned http_ok = 200;
-constexpr unsigned http_no_change = 204;
+constexpr unsigned http_no_content = 204;
 
 std::set<std::string> leaving_targets(const std::string& body)
 {
@@ -23,11 +23,11 @@
     if (!json.is_object() || !json.contains("instances") ||
         !json["instances"].is_array())
         return leaving;
-    for (const auto& one : json["instances"])
+    for (const auto& instance : json["instances"])
     {
-        if (one.is_object() && one.value("state", "") == "leaving" &&
-            one.contains("id") && one["id"].is_string())
-            leaving.insert(one["id"].get<std::string>());
+        if (instance.is_object() && instance.value("state", "") == "leaving" &&
+            instance.contains("id") && instance["id"].is_string())
+            leaving.insert(instance["id"].get<std::string>());
     }
     return leaving;
 }
@@ -36,11 +36,11 @@
 
 platform_reader::platform_reader(const runtime::address& service,
                                  config_store& store,
-                                 runtime::metrics& counters, mode how,
-                                 intervals waits, std::uint64_t seed)
-    : m_store(store), m_metrics(counters), m_mode(how), m_waits(waits),
-      m_random(seed), m_service(service), m_manifest_client(service),
-      m_instances_client(service)
+                                 runtime::metrics& counters, mode manifest_mode,
+                                 intervals pauses, std::uint64_t seed)
+    : m_store(store), m_metrics(counters), m_manifest_mode(manifest_mode),
+      m_pauses(pauses), m_random(seed), m_service(service),
+      m_manifest_client(service), m_instances_client(service)
 {
 }
 
@@ -51,66 +51,71 @@
 
 std::chrono::milliseconds platform_reader::read_manifest()
 {
-    const bool waits = m_mode == mode::watch && m_store.generation() > 0;
+    const bool is_long_poll =
+        m_manifest_mode == mode::watch && m_store.generation() > 0;
     std::string path =
         "/v1/manifest?after=" + std::to_string(m_store.generation());
-    if (waits)
-        path += "&wait_ms=" + std::to_string(m_waits.watch.count());
-    const auto timeout = waits ? m_waits.watch + read_timeout : read_timeout;
+    if (is_long_poll)
+        path += "&wait_ms=" + std::to_string(m_pauses.watch.count());
+    const auto timeout =
+        is_long_poll ? m_pauses.watch + read_timeout : read_timeout;
     try
     {
-        const runtime::http_answer answer =
-            waits ? runtime::watch(m_service, path, timeout,
-                                   [this] { return !m_is_stopping; })
-                  : m_manifest_client.get(path, timeout);
-        count_read("manifest", std::to_string(answer.status));
-        if (answer.status == http_ok)
-            m_store.offer(answer.body, source::service);
-        else if (answer.status != http_no_change)
-            return jittered(m_waits.after_failure);
+        const runtime::http_answer response =
+            is_long_poll ? runtime::watch(m_service, path, timeout,
+                                          [this] { return !m_is_stopping; })
+                         : m_manifest_client.get(path, timeout);
+        count_read("manifest", std::to_string(response.status));
+        if (response.status == http_ok)
+            m_store.offer(response.body, source::service);
+        else if (response.status != http_no_content)
+            return with_jitter(m_pauses.retry);
     }
     catch (const runtime::http_error&)
     {
         count_read("manifest", "no_answer");
-        return jittered(m_waits.after_failure);
+        return with_jitter(m_pauses.retry);
     }
-    // The pause between two watches bounds the reads that a burst of changes
-    // can cause: a watch then answers with the newest one only.
-    constexpr std::chrono::milliseconds between_watches{250};
-    return jittered(m_mode == mode::watch ? between_watches : m_waits.poll);
+    // The pause between two long polls limits the reads that a burst of
+    // changes can cause: the next long poll returns only the newest change.
+    constexpr std::chrono::milliseconds watch_pause{250};
+    return with_jitter(m_manifest_mode == mode::watch ? watch_pause
+                                                      : m_pauses.poll);
 }
 
-// A mark that one entry reads reaches the sidecar, and with its grants every
-// other entry. The more entries a sidecar has, the more rarely each reads.
+// When one entry reads that a target is leaving, it tells the target's
+// sidecar, and the sidecar's grants tell all other entries. Therefore each
+// entry may read more rarely the more entries share the sidecars.
 std::chrono::milliseconds platform_reader::read_instances(std::uint32_t readers)
 {
     constexpr std::uint32_t readers_at_full_rate = 8;
     try
     {
-        const runtime::http_answer answer =
+        const runtime::http_answer response =
             m_instances_client.get("/v1/instances", read_timeout);
-        count_read("instances", std::to_string(answer.status));
-        if (answer.status == http_ok)
-            m_leaving = leaving_targets(answer.body);
+        count_read("instances", std::to_string(response.status));
+        if (response.status == http_ok)
+            m_leaving = leaving_targets(response.body);
     }
     catch (const runtime::http_error&)
     {
         count_read("instances", "no_answer");
     }
-    // While the list cannot be read, what it said last still stands.
+    // While the list cannot be read, the last list that was read stays valid.
     if (m_leaving_listener)
         m_leaving_listener(m_leaving);
-    return jittered(m_waits.instances *
-                    std::max(readers / readers_at_full_rate, 1U));
+    return with_jitter(m_pauses.instances *
+                       std::max(readers / readers_at_full_rate, 1U));
 }
 
-// Half to one and a half times the wait, so that processes which started
-// together do not go on reading together.
+// Returns half to one and a half times the pause, so that processes that
+// started at the same time do not keep sending their requests at the same
+// time.
 std::chrono::milliseconds
-platform_reader::jittered(std::chrono::milliseconds wait)
+platform_reader::with_jitter(std::chrono::milliseconds pause)
 {
-    const auto span = static_cast<std::uint64_t>(wait.count()) + 1;
-    return wait / 2 + std::chrono::milliseconds(m_random.below(span));
+    const auto span = static_cast<std::uint64_t>(pause.count()) + 1;
+    return pause / 2 + std::chrono::milliseconds(m_random.below(span));
 }
 
 void platform_reader::count_read(const std::string& kind,
--- a/packages/manifest/check.hpp
+++ b/packages/manifest/check.hpp
@@ -7,8 +7,9 @@
 namespace mangofold::manifest
 {
 
-/// Returns the faults between the parts of \a value: unknown references,
-/// doubled ids, times that contradict each other.
-std::vector<fault> check(const document& value);
+/// Returns the errors of a parsed manifest that a look at a single member does
+/// not show: references to undeclared items, duplicate ids and addresses, and
+/// values out of range.
+std::vector<validation_error> check(const document& manifest);
 
 } // namespace mangofold::manifest
--- a/packages/manifest/manifest.cpp
+++ b/packages/manifest/manifest.cpp
@@ -13,7 +13,7 @@
 {
     const auto found =
         std::find_if(items.begin(), items.end(),
-                     [&](const Item& one) { return one.id == id; });
+                     [&](const Item& item) { return item.id == id; });
     return found == items.end() ? nullptr : &*found;
 }
 
@@ -22,34 +22,35 @@
 bool pipeline::is_repeatable() const
 {
     return std::all_of(stages.begin(), stages.end(),
-                       [](const stage& one) { return one.is_repeatable; });
+                       [](const stage& step) { return step.is_repeatable; });
 }
 
-// A caller sends again within the resend horizon. That sending lives for its
-// deadline, and a submission can lie in a buffer for as long as its grant.
+// A caller sends a request again within the resend horizon. The later request
+// runs until its deadline, and its submission to a sidecar can wait in a
+// buffer for the lifetime of the grant that it uses.
 decision::duration document::start_horizon() const
 {
-    decision::duration longest{};
-    for (const pipeline& one : pipelines)
+    decision::duration max_deadline{};
+    for (const pipeline& declared : pipelines)
     {
-        if (!one.is_repeatable())
-            longest = std::max(longest, one.deadline);
+        if (!declared.is_repeatable())
+            max_deadline = std::max(max_deadline, declared.deadline);
     }
-    return resend_horizon + longest + grant_lifetime;
+    return resend_horizon + max_deadline + grant_lifetime;
 }
 
-// All that holds for a target that is no longer declared, for what runs there
-// and for work that may not be repeated, so holds for an evacuated one.
+// An evacuated target is handled exactly like one that is no longer declared,
+// including its runs in progress and non-repeatable work.
 void document::drop_evacuated_targets()
 {
-    for (pool& one : pools)
-        std::erase_if(one.targets,
-                      [this](const target& place)
-                      {
-                          return std::find(evacuated_zones.begin(),
-                                           evacuated_zones.end(),
-                                           place.zone) != evacuated_zones.end();
-                      });
+    for (pool& declared : pools)
+        std::erase_if(
+            declared.targets,
+            [this](const target& candidate)
+            {
+                return std::find(evacuated_zones.begin(), evacuated_zones.end(),
+                                 candidate.zone) != evacuated_zones.end();
+            });
 }
 
 const pool* document::find_pool(const std::string& id) const
--- a/packages/manifest/parse.cpp
+++ b/packages/manifest/parse.cpp
@@ -9,24 +9,26 @@
 namespace
 {
 
-std::string joined(const std::vector<fault>& faults)
+std::string error_list(const std::vector<validation_error>& errors)
 {
-    std::string text = "the manifest is refused:";
-    for (const fault& one : faults)
-        text += "\n  " + (one.path.empty() ? "/" : one.path) + " " + one.text;
+    std::string text = "the manifest is invalid:";
+    for (const validation_error& error : errors)
+        text += "\n  " + (error.path.empty() ? "/" : error.path) + " " +
+                error.message;
     return text;
 }
 
 decision::duration milliseconds(std::uint64_t count)
 {
-    // Far above every bound that is checked, far below an overflow.
-    constexpr std::uint64_t most = 1'000'000'000;
-    return std::chrono::milliseconds(count < most ? count : most);
+    // Saturates the value so that the conversion cannot overflow; the limit is
+    // far above every bound that check() enforces.
+    constexpr std::uint64_t max_count = 1'000'000'000;
+    return std::chrono::milliseconds(count < max_count ? count : max_count);
 }
 
-decision::work_class read_class(reader& from)
+decision::work_class read_class(reader& object)
 {
-    const std::string name = from.optional_text("class");
+    const std::string name = object.optional_string("class");
     if (name.empty())
         return decision::work_class::standard;
     for (std::size_t index = 0; index < decision::work_class_count; ++index)
@@ -35,111 +37,116 @@
         if (to_string(value) == name)
             return value;
     }
-    from.add_fault("class", "must be urgent, standard or bulk");
+    object.add_error("class", "must be urgent, standard or bulk");
     return decision::work_class::standard;
 }
 
-model read_model(reader& from)
+model read_model(reader& object)
 {
-    return {from.text("id"), from.texts("versions"),
-            from.optional_texts("adapters")};
+    return {object.string("id"), object.string_list("versions"),
+            object.optional_string_list("adapters")};
 }
 
-target read_target(reader& from)
+target read_target(reader& object)
 {
-    return {from.text("id"), from.text("zone"), from.address("address"),
-            from.address("sidecar")};
+    return {object.string("id"), object.string("zone"),
+            object.address("address"), object.address("sidecar")};
 }
 
-pool read_pool(reader& from)
+pool read_pool(reader& object)
 {
     pool value;
-    value.id = from.text("id");
-    value.slots = from.number("slots");
+    value.id = object.string("id");
+    value.slots = object.unsigned_number("slots");
     value.shares.bulk_reserve =
-        from.optional_number("bulk_reserve", value.slots / 4);
+        object.optional_unsigned("bulk_reserve", value.slots / 4);
     value.shares.standard_reserve =
-        from.optional_number("standard_reserve", value.slots / 8);
+        object.optional_unsigned("standard_reserve", value.slots / 8);
     value.shares.max_queued =
-        from.optional_number("max_queued", value.shares.max_queued);
-    value.checks_orders = from.optional_flag("checks_orders", false);
-    from.objects("targets", [&](reader& one)
-                 { value.targets.push_back(read_target(one)); });
+        object.optional_unsigned("max_queued", value.shares.max_queued);
+    value.checks_orders = object.optional_bool("checks_orders", false);
+    object.for_each_object("targets", [&](reader& item)
+                           { value.targets.push_back(read_target(item)); });
     return value;
 }
 
-stage read_stage(reader& from)
+stage read_stage(reader& object)
 {
-    return {from.text("id"), from.text("pool"), from.optional_text("model"),
-            from.optional_flag("repeatable", true)};
+    return {object.string("id"), object.string("pool"),
+            object.optional_string("model"),
+            object.optional_bool("repeatable", true)};
 }
 
-pipeline read_pipeline(reader& from)
+pipeline read_pipeline(reader& object)
 {
     pipeline value;
-    value.id = from.text("id");
-    value.priority = read_class(from);
-    value.deadline = milliseconds(from.number("deadline_ms"));
-    from.objects("stages",
-                 [&](reader& one) { value.stages.push_back(read_stage(one)); });
+    value.id = object.string("id");
+    value.priority = read_class(object);
+    value.deadline = milliseconds(object.unsigned_number("deadline_ms"));
+    object.for_each_object("stages", [&](reader& item)
+                           { value.stages.push_back(read_stage(item)); });
     return value;
 }
 
-account read_account(reader& from)
+account read_account(reader& object)
 {
     account value;
-    value.id = from.text("id");
+    value.id = object.string("id");
     value.weight =
-        static_cast<std::uint32_t>(from.optional_number("weight", 1));
-    value.rate_per_s = from.optional_real("rate_per_s");
-    value.burst = from.optional_real("burst");
+        static_cast<std::uint32_t>(object.optional_unsigned("weight", 1));
+    value.rate_per_s = object.optional_non_negative("rate_per_s");
+    value.burst = object.optional_non_negative("burst");
     if (value.weight == 0)
-        from.add_fault("weight", "must be at least 1");
+        object.add_error("weight", "must be at least 1");
     return value;
 }
 
-document read_document(reader& from)
+document read_document(reader& object)
 {
-    document value;
-    value.generation = from.number("generation");
-    value.resend_horizon = milliseconds(from.number("resend_horizon_ms"));
-    value.zones = from.texts("zones");
-    value.evacuated_zones = from.optional_texts("evacuated_zones");
-    from.objects("models",
-                 [&](reader& one) { value.models.push_back(read_model(one)); });
-    from.objects("pools",
-                 [&](reader& one) { value.pools.push_back(read_pool(one)); });
-    from.objects("pipelines", [&](reader& one)
-                 { value.pipelines.push_back(read_pipeline(one)); });
-    from.objects("accounts", [&](reader& one)
-                 { value.accounts.push_back(read_account(one)); });
-    return value;
+    document manifest;
+    manifest.generation = object.unsigned_number("generation");
+    manifest.resend_horizon =
+        milliseconds(object.unsigned_number("resend_horizon_ms"));
+    manifest.zones = object.string_list("zones");
+    manifest.evacuated_zones = object.optional_string_list("evacuated_zones");
+    object.for_each_object("models", [&](reader& item)
+                           { manifest.models.push_back(read_model(item)); });
+    object.for_each_object("pools", [&](reader& item)
+                           { manifest.pools.push_back(read_pool(item)); });
+    object.for_each_object(
+        "pipelines", [&](reader& item)
+        { manifest.pipelines.push_back(read_pipeline(item)); });
+    object.for_each_object(
+        "accounts",
+        [&](reader& item) { manifest.accounts.push_back(read_account(item)); });
+    return manifest;
 }
 
 } // namespace
 
-manifest_error::manifest_error(std::vector<fault> faults)
-    : std::runtime_error(joined(faults)), m_faults(std::move(faults))
+manifest_error::manifest_error(std::vector<validation_error> errors)
+    : std::runtime_error(error_list(errors)), m_errors(std::move(errors))
 {
 }
 
 document parse(std::string_view text)
 {
-    std::vector<fault> faults;
+    std::vector<validation_error> errors;
     const nlohmann::json json = nlohmann::json::parse(text, nullptr, false);
     if (json.is_discarded())
-        throw manifest_error(std::vector<fault>{{"", "is not JSON"}});
-    document value;
-    reader top(json, "", faults);
+        throw manifest_error(
+            std::vector<validation_error>{{"", "is not valid JSON"}});
+    document manifest;
+    reader root(json, "", errors);
     if (json.is_object())
-        value = read_document(top);
-    top.finish();
-    if (faults.empty())
-        faults = check(value);
-    if (!faults.empty())
-        throw manifest_error(std::move(faults));
-    value.drop_evacuated_targets();
-    return value;
+        manifest = read_document(root);
+    root.report_unknown_members();
+    if (errors.empty())
+        errors = check(manifest);
+    if (!errors.empty())
+        throw manifest_error(std::move(errors));
+    manifest.drop_evacuated_targets();
+    return manifest;
 }
 
 } // namespace mangofold::manifest
--- a/packages/manifest/parse.hpp
+++ b/packages/manifest/parse.hpp
@@ -10,29 +10,30 @@
 namespace mangofold::manifest
 {
 
-/// One fault of a manifest: where, as a JSON pointer, and what.
-struct fault
+/// An error in a manifest.
+struct validation_error
 {
-    std::string path;
-    std::string text;
+    std::string path;    ///< JSON pointer to the invalid member.
+    std::string message; ///< The problem, worded to follow the path.
 
-    friend bool operator==(const fault&, const fault&) = default;
+    friend bool operator==(const validation_error&,
+                           const validation_error&) = default;
 };
 
-/// A manifest that cannot be put in force, with every fault found.
+/// Thrown for an invalid manifest. what() lists all errors found, one a line.
 class manifest_error : public std::runtime_error
 {
 public:
-    explicit manifest_error(std::vector<fault> faults);
+    explicit manifest_error(std::vector<validation_error> errors);
 
-    const std::vector<fault>& faults() const { return m_faults; }
+    const std::vector<validation_error>& errors() const { return m_errors; }
 
 private:
-    std::vector<fault> m_faults;
+    std::vector<validation_error> m_errors;
 };
 
-/// Returns the manifest in \a text, checked as a whole. Throws
-/// manifest_error.
+/// Returns the manifest in the JSON text \a text, validated, without the
+/// targets of evacuated zones. Throws manifest_error.
 document parse(std::string_view text);
 
 } // namespace mangofold::manifest
--- a/tests/configuration/config_store_test.cpp
+++ b/tests/configuration/config_store_test.cpp
@@ -26,9 +26,9 @@
 
 TEST_SUITE("config store")
 {
-    TEST_CASE("a stale service cannot turn an accepted change back")
+    TEST_CASE("a stale configuration service cannot revert an adopted manifest")
     {
-        // A peer passed generation 2 on. Then the service, which is stale,
+        // A peer offers generation 2. Then a stale replica of the service
         // answers a read with generation 1 again.
         runtime::metrics counters;
         config_store store(counters);
@@ -38,7 +38,7 @@
         CHECK(store.generation() == 2);
     }
 
-    TEST_CASE("a bad manifest leaves the last good one in force")
+    TEST_CASE("an invalid manifest leaves the current one in use")
     {
         runtime::metrics counters;
         config_store store(counters);
@@ -48,7 +48,7 @@
         CHECK(store.current()->document.generation == 1);
     }
 
-    TEST_CASE("two bodies of one generation: the first stays")
+    TEST_CASE("of two different manifests of one generation the first is kept")
     {
         runtime::metrics counters;
         config_store store(counters);
@@ -57,16 +57,16 @@
         CHECK(store.current()->document.accounts[0].id == "desk");
     }
 
-    TEST_CASE("listeners hear every change in order")
+    TEST_CASE("listeners are called for each adopted manifest, in order")
     {
         runtime::metrics counters;
         config_store store(counters);
-        std::string heard;
+        std::string generations;
         store.add_listener(
             [&](const configuration::snapshot_ptr& value)
-            { heard += std::to_string(value->document.generation); });
+            { generations += std::to_string(value->document.generation); });
         for (int generation : {1, 3, 2, 4})
             store.offer(manifest_of(generation), source::peer);
-        CHECK(heard == "134");
+        CHECK(generations == "134");
     }
 }
--- a/tests/manifest/parse_test.cpp
+++ b/tests/manifest/parse_test.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-nlohmann::json small()
+nlohmann::json small_manifest()
 {
     return nlohmann::json::parse(R"({
         "generation": 3, "resend_horizon_ms": 6000, "zones": ["z1"],
@@ -22,7 +22,7 @@
         "accounts": [{"id": "desk"}]})");
 }
 
-std::vector<fault> faults_of(const nlohmann::json& value)
+std::vector<validation_error> errors_of(const nlohmann::json& value)
 {
     try
     {
@@ -30,16 +30,16 @@
     }
     catch (const manifest_error& error)
     {
-        return error.faults();
+        return error.errors();
     }
     return {};
 }
 
-bool has_fault(const nlohmann::json& value, const std::string& path)
+bool has_error_at(const nlohmann::json& value, const std::string& path)
 {
-    for (const fault& one : faults_of(value))
+    for (const validation_error& error : errors_of(value))
     {
-        if (one.path == path)
+        if (error.path == path)
             return true;
     }
     return false;
@@ -49,9 +49,9 @@
 
 TEST_SUITE("manifest")
 {
-    TEST_CASE("a good one is read whole")
+    TEST_CASE("a valid manifest is read with all of its members")
     {
-        const document value = parse(small().dump());
+        const document value = parse(small_manifest().dump());
         CHECK(value.generation == 3);
         CHECK(value.find_pool("generators")->shares.bulk_reserve == 1);
         CHECK_FALSE(value.find_pipeline("chat")->is_repeatable());
@@ -59,67 +59,67 @@
         CHECK(value.start_horizon() == std::chrono::seconds(12));
     }
 
-    TEST_CASE("every fault is named by its path")
+    TEST_CASE("each error is reported with the path of its member")
     {
-        nlohmann::json bad = small();
-        bad["generation"] = 0;
-        bad["pools"][0]["targets"][0]["zone"] = "z9";
-        bad["pools"][0]["targets"][0]["address"] = "localhost:7001";
-        bad["pools"][0]["slotz"] = 4;
-        bad["pipelines"][0]["class"] = "soon";
-        const std::vector<fault> found = faults_of(bad);
+        nlohmann::json invalid = small_manifest();
+        invalid["generation"] = 0;
+        invalid["pools"][0]["targets"][0]["zone"] = "z9";
+        invalid["pools"][0]["targets"][0]["address"] = "localhost:7001";
+        invalid["pools"][0]["slotz"] = 4;
+        invalid["pipelines"][0]["class"] = "soon";
+        const std::vector<validation_error> found = errors_of(invalid);
         CHECK(found.size() == 3);
-        CHECK(has_fault(bad, "/pools/0/targets/0/address"));
-        CHECK(has_fault(bad, "/pools/0/slotz"));
-        CHECK(has_fault(bad, "/pipelines/0/class"));
+        CHECK(has_error_at(invalid, "/pools/0/targets/0/address"));
+        CHECK(has_error_at(invalid, "/pools/0/slotz"));
+        CHECK(has_error_at(invalid, "/pipelines/0/class"));
     }
 
-    TEST_CASE("references that lead nowhere are faults")
+    TEST_CASE("references to undeclared items are errors")
     {
-        nlohmann::json bad = small();
-        bad["pools"][0]["targets"][0]["zone"] = "z9";
-        bad["pipelines"][0]["stages"][0]["pool"] = "nowhere";
-        bad["pipelines"][0]["deadline_ms"] = 0;
-        bad["accounts"].push_back({{"id", "desk"}});
-        CHECK(has_fault(bad, "/pools/0/targets/0/zone"));
-        CHECK(has_fault(bad, "/pipelines/0/stages/0/pool"));
-        CHECK(has_fault(bad, "/pipelines/0/deadline_ms"));
-        CHECK(has_fault(bad, "/accounts/1/id"));
+        nlohmann::json invalid = small_manifest();
+        invalid["pools"][0]["targets"][0]["zone"] = "z9";
+        invalid["pipelines"][0]["stages"][0]["pool"] = "nowhere";
+        invalid["pipelines"][0]["deadline_ms"] = 0;
+        invalid["accounts"].push_back({{"id", "desk"}});
+        CHECK(has_error_at(invalid, "/pools/0/targets/0/zone"));
+        CHECK(has_error_at(invalid, "/pipelines/0/stages/0/pool"));
+        CHECK(has_error_at(invalid, "/pipelines/0/deadline_ms"));
+        CHECK(has_error_at(invalid, "/accounts/1/id"));
     }
 
-    TEST_CASE("a model must be named with a version that it has")
+    TEST_CASE("a stage must name a declared version and adapter of its model")
     {
-        nlohmann::json bad = small();
+        nlohmann::json invalid = small_manifest();
         for (const char* name :
              {"writer", "writer:2", "writer:1+clubs", "painter:1"})
         {
-            bad["pipelines"][0]["stages"][0]["model"] = name;
-            CHECK(has_fault(bad, "/pipelines/0/stages/0/model"));
+            invalid["pipelines"][0]["stages"][0]["model"] = name;
+            CHECK(has_error_at(invalid, "/pipelines/0/stages/0/model"));
         }
     }
 
-    // Guards against work for targets of an evacuated zone.
-    TEST_CASE("targets of an evacuated zone are as if not declared")
+    // Targets of an evacuated zone must get no work.
+    TEST_CASE("the targets of an evacuated zone are removed")
     {
-        nlohmann::json value = small();
+        nlohmann::json value = small_manifest();
         const std::string zone = value["pools"][0]["targets"][0]["zone"];
         const document before = parse(value.dump());
         value["evacuated_zones"] = {zone};
         const document read = parse(value.dump());
-        std::size_t left_out = 0;
-        for (std::size_t one = 0; one < read.pools.size(); ++one)
+        std::size_t removed_targets = 0;
+        for (std::size_t index = 0; index < read.pools.size(); ++index)
         {
-            for (const target& place : read.pools[one].targets)
-                CHECK(place.zone != zone);
-            left_out += before.pools[one].targets.size() -
-                        read.pools[one].targets.size();
+            for (const target& candidate : read.pools[index].targets)
+                CHECK(candidate.zone != zone);
+            removed_targets += before.pools[index].targets.size() -
+                               read.pools[index].targets.size();
         }
-        CHECK(left_out > 0);
+        CHECK(removed_targets > 0);
         value["evacuated_zones"] = {"z9"};
-        CHECK(has_fault(value, "/evacuated_zones/0"));
+        CHECK(has_error_at(value, "/evacuated_zones/0"));
     }
 
-    TEST_CASE("what is no manifest at all is refused")
+    TEST_CASE("a text that is not a JSON object is rejected")
     {
         CHECK_THROWS_AS(parse("{"), manifest_error);
         CHECK_THROWS_AS(parse("[]"), manifest_error);
