--- a/packages/runtime/address.hpp
+++ b/packages/runtime/address.hpp
@@ -8,14 +8,14 @@
 namespace mangofold::runtime
 {
 
-/// A text that is no address.
+/// Thrown for a text that is not a valid address.
 class address_error : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// An IP number and a port.
+/// An IPv4 address and a TCP port.
 struct address
 {
     std::string host;
@@ -24,6 +24,7 @@
     /// Returns the address in \a text, "IP:port". Throws address_error.
     static address parse(const std::string& text);
 
+    /// Returns the address as "IP:port".
     std::string text() const { return host + ":" + std::to_string(port); }
 
     friend auto operator<=>(const address&, const address&) = default;
--- a/packages/runtime/admin_handlers.hpp
+++ b/packages/runtime/admin_handlers.hpp
@@ -8,8 +8,9 @@
 namespace mangofold::runtime
 {
 
-/// Adds /metrics, /healthz, /readyz and /status to \a server, which must not
-/// outlive what the arguments refer to.
+/// Adds the handlers of the paths /metrics, /healthz, /readyz and /status to
+/// \a server. \a counters and all objects that the functions use must outlive
+/// the server.
 void add_admin_handlers(http_server& server, const metrics& counters,
                         std::function<bool()> is_ready,
                         std::function<http_reply()> status);
--- a/packages/runtime/bounded_sink.cpp
+++ b/packages/runtime/bounded_sink.cpp
@@ -11,55 +11,57 @@
 namespace
 {
 
-/// What may wait to be written: some thousand lines, seconds of a busy entry.
-constexpr std::size_t most_waiting = 1U << 20U;
+/// The buffer limit: a few thousand lines, seconds of output of a busy
+/// entry.
+constexpr std::size_t max_buffered_bytes = 1U << 20U;
 
-/// Lines are written once this much waits, and when the log is flushed.
-constexpr std::size_t write_at = 1U << 15U;
+/// Buffered lines are written at this size, and when the log is flushed.
+constexpr std::size_t flush_threshold_bytes = 1U << 15U;
 
 } // namespace
 
-bounded_sink::bounded_sink(int target) : m_target(target)
+bounded_sink::bounded_sink(int descriptor) : m_descriptor(descriptor)
 {
-    const int flags = fcntl(target, F_GETFL);
+    const int flags = fcntl(descriptor, F_GETFL);
     if (flags >= 0)
-        fcntl(target, F_SETFL, flags | O_NONBLOCK);
+        fcntl(descriptor, F_SETFL, flags | O_NONBLOCK);
 }
 
 void bounded_sink::sink_it_(const spdlog::details::log_msg& message)
 {
-    if (m_waiting.size() > most_waiting)
+    if (m_buffer.size() > max_buffered_bytes)
     {
         ++m_dropped;
-        ++m_untold;
+        ++m_unreported;
         return;
     }
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    m_waiting.append(line.data(), line.size());
-    if (m_waiting.size() >= write_at)
+    m_buffer.append(line.data(), line.size());
+    if (m_buffer.size() >= flush_threshold_bytes)
         flush_();
 }
 
 void bounded_sink::flush_()
 {
     std::size_t written = 0;
-    while (written < m_waiting.size())
+    while (written < m_buffer.size())
     {
-        const ssize_t count = write(m_target, m_waiting.data() + written,
-                                    m_waiting.size() - written);
+        const ssize_t count = write(m_descriptor, m_buffer.data() + written,
+                                    m_buffer.size() - written);
         if (count < 0 && errno == EINTR)
             continue;
         if (count <= 0)
             break;
         written += static_cast<std::size_t>(count);
     }
-    m_waiting.erase(0, written);
-    if (m_untold == 0 || m_waiting.size() > most_waiting / 2)
+    m_buffer.erase(0, written);
+    // Dropped lines are reported once at least half of the buffer is free.
+    if (m_unreported == 0 || m_buffer.size() > max_buffered_bytes / 2)
         return;
-    m_waiting += "{\"event\":\"log_lines_dropped\",\"lines\":" +
-                 std::to_string(m_untold) + "}\n";
-    m_untold = 0;
+    m_buffer += "{\"event\":\"log_lines_dropped\",\"lines\":" +
+                std::to_string(m_unreported) + "}\n";
+    m_unreported = 0;
 }
 
 } // namespace mangofold::runtime
--- a/packages/runtime/bounded_sink.hpp
+++ b/packages/runtime/bounded_sink.hpp
@@ -9,17 +9,17 @@
 namespace mangofold::runtime
 {
 
-/// Where log lines go of a process that must never wait for whoever reads
-/// them: they are kept up to a bound, and written as far as the reader takes
-/// them. What is over the bound is dropped, and the number of dropped lines
-/// is logged once there is room again.
+/// A log sink that never blocks, for processes whose requests must not wait
+/// for the reader of their log. Lines are buffered in memory up to a limit and
+/// written as fast as the reader takes them. Further lines are dropped, and the
+/// number of dropped lines is logged once the buffer has room again.
 class bounded_sink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
-    /// Writes to the descriptor \a target, which is set not to block.
-    explicit bounded_sink(int target);
+    /// Writes to \a descriptor, which is set to non-blocking mode.
+    explicit bounded_sink(int descriptor);
 
-    /// Returns the lines dropped so far.
+    /// Returns the number of lines dropped so far.
     std::uint64_t dropped() const { return m_dropped; }
 
 protected:
@@ -27,10 +27,10 @@
     void flush_() override;
 
 private:
-    int m_target;
-    std::string m_waiting;
+    int m_descriptor;
+    std::string m_buffer;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_untold = 0; ///< Dropped lines not logged yet.
+    std::uint64_t m_unreported = 0; ///< Dropped lines not logged yet.
 };
 
 } // namespace mangofold::runtime
--- a/packages/runtime/child.hpp
+++ b/packages/runtime/child.hpp
@@ -5,7 +5,8 @@
 namespace mangofold::runtime
 {
 
-/// A part of a process that a supervisor starts, watches and stops.
+/// A component of a process that a supervisor starts, monitors, restarts after
+/// a failure and stops.
 class child
 {
 public:
@@ -13,13 +14,14 @@
 
     virtual const std::string& name() const = 0;
 
-    /// Starts the part. Throws where it cannot.
+    /// Starts the component. Throws std::exception if the start fails.
     virtual void start() = 0;
 
-    /// Stops the part and waits until it has ended.
+    /// Stops the component and waits until the component has ended.
     virtual void stop() noexcept = 0;
 
-    /// Whether the part ended by itself since its start.
+    /// Whether the component has ended without a call of stop() since its last
+    /// start.
     virtual bool has_failed() const = 0;
 };
 
--- a/packages/runtime/clock.cpp
+++ b/packages/runtime/clock.cpp
@@ -5,8 +5,8 @@
 namespace mangofold::runtime
 {
 
-// A clock that stood still while the machine was suspended would let grants
-// of before the suspension still count as live afterwards.
+// With a clock that stops while the machine is suspended, grants from before
+// the suspension would still count as valid after it. CLOCK_BOOTTIME goes on.
 decision::instant system_clock::now() const
 {
     timespec time{};
--- a/packages/runtime/clock.hpp
+++ b/packages/runtime/clock.hpp
@@ -5,17 +5,19 @@
 namespace mangofold::runtime
 {
 
-/// The clock that every part of a process asks for the time.
+/// The time source of all components of a process. Tests replace it by a
+/// paused_clock.
 class clock
 {
 public:
     virtual ~clock() = default;
 
-    /// Returns the present instant.
+    /// Returns the current time.
     virtual decision::instant now() const = 0;
 };
 
-/// The clock of the running system, which counts suspended time too.
+/// The monotonic clock of the operating system, which includes the time that
+/// the machine is suspended.
 class system_clock : public clock
 {
 public:
--- a/packages/runtime/event.cpp
+++ b/packages/runtime/event.cpp
@@ -5,18 +5,18 @@
 
 std::string escaped(std::string_view text)
 {
-    std::string safe;
-    safe.reserve(text.size());
-    for (const char one : text)
+    std::string result;
+    result.reserve(text.size());
+    for (const char character : text)
     {
-        if (one == '"' || one == '\\')
-            safe += '\\';
-        if (one == '\n')
-            safe += "\\n";
-        else if (static_cast<unsigned char>(one) >= 0x20)
-            safe += one;
+        if (character == '"' || character == '\\')
+            result += '\\';
+        if (character == '\n')
+            result += "\\n";
+        else if (static_cast<unsigned char>(character) >= 0x20)
+            result += character;
     }
-    return safe;
+    return result;
 }
 
 } // namespace mangofold::runtime
--- a/packages/runtime/event.hpp
+++ b/packages/runtime/event.hpp
@@ -8,10 +8,12 @@
 namespace mangofold::runtime
 {
 
-/// Returns \a text as the inside of a JSON text.
+/// Returns \a text escaped for use inside a JSON string. Control characters
+/// other than line feeds are removed.
 std::string escaped(std::string_view text);
 
-/// One line of the structured log, built member by member.
+/// One line of the structured log: the members of a JSON object, of which
+/// "event" is the name of the event. info(), warn() and error() write it.
 class event
 {
 public:
--- a/packages/runtime/http_client.cpp
+++ b/packages/runtime/http_client.cpp
@@ -21,13 +21,13 @@
 using asio::ip::tcp;
 using beast::error_code;
 
-constexpr std::chrono::milliseconds shortest_timeout{1};
-constexpr std::uint64_t largest_answer = 64U << 20U; // Bytes.
+constexpr std::chrono::milliseconds min_timeout{1};
+constexpr std::uint64_t max_response_bytes = 64U << 20U;
 
-http::request<http::string_body> message_of(const address& server,
-                                            const std::string& method,
-                                            const std::string& path,
-                                            const std::string& body)
+http::request<http::string_body> make_message(const address& server,
+                                              const std::string& method,
+                                              const std::string& path,
+                                              const std::string& body)
 {
     constexpr unsigned http_1_1 = 11;
     http::request<http::string_body> message;
@@ -47,65 +47,65 @@
 class http_client::connection
 {
 public:
-    /// Connects, or throws http_error.
+    /// Connects to \a server. Throws http_error.
     connection(const address& server, decision::duration timeout)
         : m_stream(m_loop)
     {
-        error_code fault;
-        tcp::resolver names(m_loop);
-        const auto found =
-            names.resolve(server.host, std::to_string(server.port), fault);
-        if (!fault)
+        error_code error;
+        tcp::resolver resolver(m_loop);
+        const auto endpoints =
+            resolver.resolve(server.host, std::to_string(server.port), error);
+        if (!error)
         {
             m_stream.expires_after(timeout);
             m_stream.async_connect(
-                found, [&fault](error_code ended, const tcp::endpoint&)
-                { fault = ended; });
+                endpoints, [&error](error_code result, const tcp::endpoint&)
+                { error = result; });
             run();
         }
-        if (fault)
-            throw http_error(http_error::kind::not_connected, fault.message());
+        if (error)
+            throw http_error(http_error::kind::not_connected, error.message());
         m_stream.socket().set_option(tcp::no_delay(true));
     }
 
-    /// Whether a call can be made: the server has neither closed the
-    /// connection nor sent anything that nobody asked for.
+    /// Whether the connection can be used for another call: the server has
+    /// neither closed the connection nor sent unsolicited data.
     bool is_usable()
     {
-        if (!m_is_kept)
+        if (!m_is_reusable)
             return false;
-        error_code fault;
+        error_code error;
         std::array<char, 1> byte{};
-        m_stream.socket().non_blocking(true, fault);
+        m_stream.socket().non_blocking(true, error);
         m_stream.socket().receive(asio::buffer(byte), tcp::socket::message_peek,
-                                  fault);
-        return fault == asio::error::would_block;
+                                  error);
+        return error == asio::error::would_block;
     }
 
-    /// Sends \a message once and returns its answer, or throws http_error.
+    /// Sends \a message once and returns the response. Throws http_error.
     http_answer call(const http::request<http::string_body>& message,
                      decision::duration timeout)
     {
-        m_is_kept = false;
+        m_is_reusable = false;
         m_stream.expires_after(timeout);
-        error_code fault;
+        error_code error;
         http::async_write(m_stream, message,
-                          [&fault](error_code ended, std::size_t)
-                          { fault = ended; });
+                          [&error](error_code result, std::size_t)
+                          { error = result; });
         run();
-        http::response_parser<http::string_body> answer;
-        answer.body_limit(largest_answer);
-        if (!fault)
+        http::response_parser<http::string_body> response;
+        response.body_limit(max_response_bytes);
+        if (!error)
         {
-            http::async_read(m_stream, m_bytes, answer,
-                             [&fault](error_code ended, std::size_t)
-                             { fault = ended; });
+            http::async_read(m_stream, m_buffer, response,
+                             [&error](error_code result, std::size_t)
+                             { error = result; });
             run();
         }
-        if (fault)
-            throw http_error(http_error::kind::no_answer, fault.message());
-        m_is_kept = answer.get().keep_alive() && m_bytes.size() == 0;
-        return {answer.get().result_int(), std::move(answer.get().body())};
+        if (error)
+            throw http_error(http_error::kind::no_answer, error.message());
+        m_is_reusable = response.get().keep_alive() && m_buffer.size() == 0;
+        return {response.get().result_int(), std::move(response.get().body())};
     }
 
 private:
@@ -117,8 +117,8 @@
 
     asio::io_context m_loop{1};
     beast::tcp_stream m_stream;
-    beast::flat_buffer m_bytes;
-    bool m_is_kept = true;
+    beast::flat_buffer m_buffer;
+    bool m_is_reusable = true;
 };
 
 http_client::http_client(address server) : m_server(std::move(server)) {}
@@ -137,23 +137,23 @@
     return execute("POST", path, body, timeout);
 }
 
-// A call is sent once, also on a kept connection that is lost under it: sent
-// again, what ends its target would end it a second time.
+// A call is sent only once, even if a reused connection is lost during it: a
+// request that crashes its target would crash the target again on a retry.
 http_answer http_client::execute(const std::string& method,
                                  const std::string& path,
                                  const std::string& body,
                                  decision::duration timeout)
 {
-    const decision::duration time =
-        std::max<decision::duration>(timeout, shortest_timeout);
+    const decision::duration call_timeout =
+        std::max<decision::duration>(timeout, min_timeout);
     if (m_connection && !m_connection->is_usable())
         m_connection.reset();
     if (!m_connection)
-        m_connection = std::make_unique<connection>(m_server, time);
+        m_connection = std::make_unique<connection>(m_server, call_timeout);
     try
     {
-        return m_connection->call(message_of(m_server, method, path, body),
-                                  time);
+        return m_connection->call(make_message(m_server, method, path, body),
+                                  call_timeout);
     }
     catch (const http_error&)
     {
--- a/packages/runtime/http_client.hpp
+++ b/packages/runtime/http_client.hpp
@@ -10,18 +10,19 @@
 namespace mangofold::runtime
 {
 
-/// An HTTP call that got no answer.
+/// Thrown for an HTTP call without a response. The kind tells callers whether
+/// the server may have received the request.
 class http_error : public std::runtime_error
 {
 public:
     enum class kind
     {
         not_connected, ///< Nothing was sent.
-        no_answer      ///< Sent, at least in part, and not answered.
+        no_answer      ///< At least a part may have been sent.
     };
 
-    http_error(kind what, const std::string& text)
-        : std::runtime_error(text), m_kind(what)
+    http_error(kind failure, const std::string& message)
+        : std::runtime_error(message), m_kind(failure)
     {
     }
 
@@ -31,7 +32,7 @@
     kind m_kind;
 };
 
-/// What a server answered.
+/// The response of a server.
 struct http_answer
 {
     unsigned status = 0;
@@ -40,7 +41,9 @@
     friend bool operator==(const http_answer&, const http_answer&) = default;
 };
 
-/// One HTTP connection, kept between calls. For one thread at a time.
+/// A blocking HTTP client with one persistent connection, which is opened
+/// again when the server has closed it. Calls are never retried, since the
+/// server may have executed them. To be used by one thread at a time.
 class http_client
 {
 public:
@@ -49,6 +52,7 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
+    /// Returns the response to a GET or POST of \a path. Throws http_error.
     http_answer get(const std::string& path, decision::duration timeout);
     http_answer post(const std::string& path, const std::string& body,
                      decision::duration timeout);
--- a/packages/runtime/http_server.cpp
+++ b/packages/runtime/http_server.cpp
@@ -42,13 +42,13 @@
         while (buffer->in_avail() > 0)
         {
             char block[4096];
-            const auto got = buffer->sgetn(
+            const auto size = buffer->sgetn(
                 block,
                 std::min<std::streamsize>(sizeof block, buffer->in_avail()));
-            if (got <= 0)
+            if (size <= 0)
                 break;
-            count += static_cast<std::size_t>(got);
-            take(block, static_cast<std::size_t>(got));
+            count += static_cast<std::size_t>(size);
+            append(block, static_cast<std::size_t>(size));
         }
         return count;
     }
@@ -56,30 +56,30 @@
     void reply(std::ostream& out, cxxtools::http::Request& request,
                cxxtools::http::Reply& reply) override
     {
-        http_reply answer;
+        http_reply result;
         try
         {
-            answer = m_server.reply_to({request.method(), request.url(),
+            result = m_server.reply_to({request.method(), request.url(),
                                         request.qparams(), std::move(m_body),
                                         m_is_too_large});
         }
-        catch (const std::exception& fault)
+        catch (const std::exception& error)
         {
-            event("handler_threw").with("fault", fault.what()).error();
-            answer.status = 500;
-            answer.body = R"({"reason":"internal"})";
+            event("handler_threw").with("fault", error.what()).error();
+            result.status = 500;
+            result.body = R"({"reason":"internal"})";
         }
         m_body.clear();
-        reply.httpReturn(answer.status, "");
-        reply.setHeader("Content-Type", answer.content_type.c_str());
-        if (answer.retry_after_s > 0)
+        reply.httpReturn(result.status, "");
+        reply.setHeader("Content-Type", result.content_type.c_str());
+        if (result.retry_after_s > 0)
             reply.setHeader("Retry-After",
-                            std::to_string(answer.retry_after_s).c_str());
-        out << answer.body;
+                            std::to_string(result.retry_after_s).c_str());
+        out << result.body;
     }
 
 private:
-    void take(const char* block, std::size_t size)
+    void append(const char* block, std::size_t size)
     {
         if (m_body.size() + size > m_server.max_body())
         {
@@ -107,9 +107,9 @@
         return new responder(*this, m_server);
     }
 
-    void releaseResponder(cxxtools::http::Responder* done) override
+    void releaseResponder(cxxtools::http::Responder* released) override
     {
-        delete done;
+        delete released;
     }
 
 private:
@@ -118,10 +118,10 @@
 
 } // namespace
 
-class http_server::running
+class http_server::event_loop
 {
 public:
-    explicit running(const http_server& owner)
+    explicit event_loop(const http_server& owner)
         : m_service(owner), m_server(m_loop)
     {
         m_server.minThreads(owner.m_bounds.min_threads);
@@ -131,14 +131,14 @@
         m_thread = std::thread([this] { run(); });
     }
 
-    ~running()
+    ~event_loop()
     {
         m_loop.exit();
         m_thread.join();
     }
 
-    running(const running&) = delete;
-    running& operator=(const running&) = delete;
+    event_loop(const event_loop&) = delete;
+    event_loop& operator=(const event_loop&) = delete;
 
     bool has_ended() const { return m_has_ended; }
 
@@ -149,9 +149,9 @@
         {
             m_loop.run();
         }
-        catch (const std::exception& fault)
+        catch (const std::exception& error)
         {
-            event("http_loop_threw").with("fault", fault.what()).error();
+            event("http_loop_threw").with("fault", error.what()).error();
         }
         m_has_ended = true;
     }
@@ -177,26 +177,27 @@
 
 void http_server::start()
 {
-    m_running = std::make_unique<running>(*this);
+    m_event_loop = std::make_unique<event_loop>(*this);
 }
 
 void http_server::stop() noexcept
 {
-    m_running.reset();
+    m_event_loop.reset();
 }
 
 bool http_server::has_failed() const
 {
-    return m_running && m_running->has_ended();
+    return m_event_loop && m_event_loop->has_ended();
 }
 
 http_reply http_server::reply_to(const http_request& request) const
 {
+    // The map is sorted, so of the prefixes of one path the longest is last.
     const handler* best = nullptr;
-    for (const auto& [prefix, one] : m_handlers)
+    for (const auto& [prefix, candidate] : m_handlers)
     {
         if (request.path.starts_with(prefix))
-            best = &one;
+            best = &candidate;
     }
     if (best != nullptr)
         return (*best)(request);
--- a/packages/runtime/http_watch.cpp
+++ b/packages/runtime/http_watch.cpp
@@ -15,7 +15,8 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds step{50};
+/// The interval of the checks for the timeout and for a stop.
+constexpr std::chrono::milliseconds check_interval{50};
 
 class watcher : public cxxtools::Connectable
 {
@@ -23,38 +24,41 @@
     explicit watcher(const address& server)
         : m_client(m_selector, server.host, server.port)
     {
-        cxxtools::connect(m_client.replyFinished, *this, &watcher::finished);
-        cxxtools::connect(m_client.bodyAvailable, *this, &watcher::arrived);
+        cxxtools::connect(m_client.replyFinished, *this,
+                          &watcher::handle_finished);
+        cxxtools::connect(m_client.bodyAvailable, *this, &watcher::handle_body);
     }
 
     http_answer wait(const std::string& path, decision::duration timeout,
-                     const std::function<bool()>& goes_on)
+                     const std::function<bool()>& should_continue)
     {
-        const std::size_t question = path.find('?');
-        cxxtools::http::Request request(path.substr(0, question));
-        if (question != std::string::npos)
-            request.qparams(path.substr(question + 1));
+        const std::size_t query_start = path.find('?');
+        cxxtools::http::Request request(path.substr(0, query_start));
+        if (query_start != std::string::npos)
+            request.qparams(path.substr(query_start + 1));
         m_client.beginExecute(request);
         decision::duration waited{};
-        while (!m_is_finished && waited < timeout && goes_on())
+        while (!m_is_finished && waited < timeout && should_continue())
         {
-            m_client.wait(
-                cxxtools::Milliseconds(static_cast<double>(step.count())));
-            waited += step;
+            m_client.wait(cxxtools::Milliseconds(
+                static_cast<double>(check_interval.count())));
+            waited += check_interval;
         }
         if (!m_is_finished)
-            throw http_error(http_error::kind::no_answer, "given up");
+            throw http_error(
+                http_error::kind::no_answer,
+                "timed out or cancelled while waiting for the response");
         m_client.endExecute();
         return {m_client.header().httpReturnCode(), m_body};
     }
 
 private:
-    void finished(cxxtools::http::Client&) { m_is_finished = true; }
+    void handle_finished(cxxtools::http::Client&) { m_is_finished = true; }
 
-    std::size_t arrived(cxxtools::http::Client& from)
+    std::size_t handle_body(cxxtools::http::Client& client)
     {
         std::size_t count = 0;
-        std::streambuf* in = from.in().rdbuf();
+        std::streambuf* in = client.in().rdbuf();
         while (in->in_avail() > 0)
         {
             m_body += static_cast<char>(in->sbumpc());
@@ -73,19 +77,19 @@
 
 http_answer watch(const address& server, const std::string& path,
                   decision::duration timeout,
-                  const std::function<bool()>& goes_on)
+                  const std::function<bool()>& should_continue)
 {
     try
     {
-        return watcher(server).wait(path, timeout, goes_on);
+        return watcher(server).wait(path, timeout, should_continue);
     }
     catch (const http_error&)
     {
         throw;
     }
-    catch (const std::exception& fault)
+    catch (const std::exception& error)
     {
-        throw http_error(http_error::kind::no_answer, fault.what());
+        throw http_error(http_error::kind::no_answer, error.what());
     }
 }
 
--- a/packages/runtime/http_watch.hpp
+++ b/packages/runtime/http_watch.hpp
@@ -10,11 +10,12 @@
 namespace mangofold::runtime
 {
 
-/// Returns the answer to a GET that may wait long. Gives up soon after
-/// \a goes_on returns false, so that a process that stops need not wait for
-/// the server. Throws http_error.
+/// Returns the response to a GET of \a path whose response the server may delay
+/// (long polling). Aborts soon after \a should_continue returns false, so that
+/// a process that stops does not wait for the server. Throws http_error, also
+/// after \a timeout.
 http_answer watch(const address& server, const std::string& path,
                   decision::duration timeout,
-                  const std::function<bool()>& goes_on);
+                  const std::function<bool()>& should_continue);
 
 } // namespace mangofold::runtime
--- a/packages/runtime/latency_histogram.cpp
+++ b/packages/runtime/latency_histogram.cpp
@@ -9,14 +9,14 @@
 {
 
 constexpr unsigned bucket_count = 42;
-constexpr double lowest_s = 50e-6;
-constexpr double highest_s = 100;
+constexpr double min_s = 50e-6;
+constexpr double max_s = 100;
 
 } // namespace
 
 latency_histogram::latency_histogram()
-    : m_histogram(boost::histogram::make_histogram(
-          axis(bucket_count, lowest_s, highest_s)))
+    : m_histogram(
+          boost::histogram::make_histogram(axis(bucket_count, min_s, max_s)))
 {
 }
 
@@ -33,12 +33,12 @@
 {
     const std::string comma = labels.empty() ? "" : ",";
     std::string lines;
-    double below = m_histogram.at(-1);
+    double cumulative = m_histogram.at(-1); // The underflow bucket.
     for (const auto& bucket : boost::histogram::indexed(m_histogram))
     {
-        below += *bucket;
+        cumulative += *bucket;
         lines += fmt::format("{}_bucket{{{}{}le=\"{:.6g}\"}} {}\n", name,
-                             labels, comma, bucket.bin().upper(), below);
+                             labels, comma, bucket.bin().upper(), cumulative);
     }
     const std::string braces = labels.empty() ? "" : "{" + labels + "}";
     lines += fmt::format("{}_bucket{{{}{}le=\"+Inf\"}} {}\n", name, labels,
--- a/packages/runtime/latency_histogram.hpp
+++ b/packages/runtime/latency_histogram.hpp
@@ -10,7 +10,9 @@
 namespace mangofold::runtime
 {
 
-/// Durations in buckets that grow by a constant factor, from 50 us to 100 s.
+/// A histogram of durations. The bucket bounds grow by a constant factor, from
+/// 50 us to 100 s, so that short and long durations have the same relative
+/// precision.
 class latency_histogram
 {
 public:
@@ -20,7 +22,7 @@
 
     std::uint64_t count() const { return m_count; }
 
-    /// Returns the lines of the exposition format for metric \a name.
+    /// Returns the histogram as metric \a name in the Prometheus text format.
     std::string text(const std::string& name, const std::string& labels) const;
 
 private:
--- a/packages/runtime/log.cpp
+++ b/packages/runtime/log.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-bool use(const std::shared_ptr<spdlog::logger>& logger, const std::string& id,
-         const std::string& level)
+bool set_default(const std::shared_ptr<spdlog::logger>& logger,
+                 const std::string& id, const std::string& level)
 {
     const auto parsed = spdlog::level::from_str(level);
     if (parsed == spdlog::level::off && level != "off")
@@ -33,14 +33,14 @@
 {
     auto logger = spdlog::stderr_logger_mt(role);
     logger->flush_on(spdlog::level::info);
-    return use(logger, id, level);
+    return set_default(logger, id, level);
 }
 
 bool start_bounded_log(const std::string& role, const std::string& id,
                        const std::string& level)
 {
     const auto sink = std::make_shared<bounded_sink>(STDOUT_FILENO);
-    return use(std::make_shared<spdlog::logger>(role, sink), id, level);
+    return set_default(std::make_shared<spdlog::logger>(role, sink), id, level);
 }
 
 } // namespace mangofold::runtime
--- a/packages/runtime/log.hpp
+++ b/packages/runtime/log.hpp
@@ -7,14 +7,15 @@
 namespace mangofold::runtime
 {
 
-/// Starts structured logs on standard error: one JSON object a line, with
-/// the process's role and id. Returns whether \a level is known.
+/// Makes the default logger write to standard error: one JSON object a line,
+/// with the role and id of the process. Returns whether \a level is a valid
+/// log level.
 bool start_log(const std::string& role, const std::string& id,
                const std::string& level);
 
-/// Starts structured logs on standard output that never make the process
-/// wait; flush() of the default logger writes what has come. Returns whether
-/// \a level is known.
+/// Makes the default logger write to standard output through a bounded_sink,
+/// so that logging never blocks. The caller must flush the logger regularly.
+/// Returns whether \a level is a valid log level.
 bool start_bounded_log(const std::string& role, const std::string& id,
                        const std::string& level);
 
--- a/packages/runtime/looping_child.cpp
+++ b/packages/runtime/looping_child.cpp
@@ -31,7 +31,7 @@
         const std::lock_guard lock(m_mutex);
         m_is_stopping = true;
     }
-    m_stopping.notify_all();
+    m_stop_requested.notify_all();
     if (m_thread.joinable())
         m_thread.join();
 }
@@ -44,16 +44,17 @@
         while (!m_is_stopping)
         {
             lock.unlock();
-            const auto wait = m_step();
+            const auto pause = m_step();
             lock.lock();
-            m_stopping.wait_for(lock, wait, [this] { return m_is_stopping; });
+            m_stop_requested.wait_for(lock, pause,
+                                      [this] { return m_is_stopping; });
         }
     }
-    catch (const std::exception& fault)
+    catch (const std::exception& error)
     {
         event("child_threw")
             .with("child", m_name)
-            .with("fault", fault.what())
+            .with("fault", error.what())
             .error();
         m_has_failed = true;
     }
--- a/packages/runtime/looping_child.hpp
+++ b/packages/runtime/looping_child.hpp
@@ -12,12 +12,13 @@
 namespace mangofold::runtime
 {
 
-/// A child that does one step again and again on a thread of its own. A step
-/// that throws ends the child, which counts as failed.
+/// A child that calls one function repeatedly on a thread of its own. An
+/// exception thrown by the function ends the thread and makes the child failed,
+/// so that the supervisor restarts it.
 class looping_child : public child
 {
 public:
-    /// \a step returns how long to wait before the next step.
+    /// \a step is the function; it returns the pause before its next call.
     looping_child(std::string name,
                   std::function<std::chrono::milliseconds()> step);
     ~looping_child() override;
@@ -34,7 +35,7 @@
     std::function<std::chrono::milliseconds()> m_step;
     std::thread m_thread;
     std::mutex m_mutex;
-    std::condition_variable m_stopping;
+    std::condition_variable m_stop_requested;
     bool m_is_stopping = false;
     std::atomic<bool> m_has_failed{false};
 };
--- a/packages/runtime/metrics.cpp
+++ b/packages/runtime/metrics.cpp
@@ -13,10 +13,10 @@
 metrics::counter& metrics::count(const series& key)
 {
     const std::lock_guard lock(m_mutex);
-    auto& found = m_counters[key];
-    if (!found)
-        found = std::make_unique<counter>(0);
-    return *found;
+    auto& entry = m_counters[key];
+    if (!entry)
+        entry = std::make_unique<counter>(0);
+    return *entry;
 }
 
 void metrics::set_gauge(const series& key, double value)
@@ -28,10 +28,10 @@
 void metrics::observe(const series& key, decision::duration value)
 {
     const std::lock_guard lock(m_mutex);
-    auto& found = m_latencies[key];
-    if (!found)
-        found = std::make_unique<latency_histogram>();
-    found->add(value);
+    auto& entry = m_latencies[key];
+    if (!entry)
+        entry = std::make_unique<latency_histogram>();
+    entry->add(value);
 }
 
 std::string metrics::text() const
--- a/packages/runtime/metrics.hpp
+++ b/packages/runtime/metrics.hpp
@@ -14,18 +14,17 @@
 
 class latency_histogram;
 
-/// Names one time series: a metric and, where it has them, its labels as
-/// they are printed between braces.
+/// The key of one time series.
 struct series
 {
-    std::string name;
-    std::string labels;
+    std::string name;   ///< The name of the metric.
+    std::string labels; ///< As printed between braces; empty for none.
 
     friend auto operator<=>(const series&, const series&) = default;
 };
 
-/// The counters, gauges and latencies of a process, printed as text in the
-/// usual exposition format.
+/// The counters, gauges and latency histograms of a process, exported in the
+/// Prometheus text format. Thread-safe.
 class metrics
 {
 public:
@@ -36,16 +35,18 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    /// Returns the counter of \a key; it stays valid for good.
+    /// Returns the counter of \a key, created with 0 on first use. The
+    /// reference stays valid as long as this object.
     counter& count(const series& key);
 
-    /// Sets a value that may rise and fall.
+    /// Sets the gauge of \a key.
     void set_gauge(const series& key, double value);
 
-    /// Notes one duration, in seconds when printed.
+    /// Adds a duration to the histogram of \a key, which is exported in
+    /// seconds.
     void observe(const series& key, decision::duration value);
 
-    /// Returns everything as text.
+    /// Returns all metrics in the text format.
     std::string text() const;
 
 private:
@@ -55,7 +56,7 @@
     std::map<series, std::unique_ptr<latency_histogram>> m_latencies;
 };
 
-/// Returns the label \a name with \a value.
+/// Returns the label \a name with \a value in the text format.
 inline std::string label(const std::string& name, std::string_view value)
 {
     std::string text = name + "=\"";
--- a/packages/runtime/paused_clock.hpp
+++ b/packages/runtime/paused_clock.hpp
@@ -7,7 +7,7 @@
 namespace mangofold::runtime
 {
 
-/// A clock that stands still until a test advances it.
+/// A clock for tests, whose time changes only by advance().
 class paused_clock : public clock
 {
 public:
--- a/packages/runtime/program.cpp
+++ b/packages/runtime/program.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-volatile std::sig_atomic_t stop_wanted = 0;
+volatile std::sig_atomic_t stop_requested = 0;
 
-void note_stop(int)
+void request_stop(int)
 {
-    stop_wanted = 1;
+    stop_requested = 1;
 }
 
 } // namespace
@@ -36,14 +36,14 @@
 
 void watch_signals()
 {
-    std::signal(SIGTERM, note_stop);
-    std::signal(SIGINT, note_stop);
+    std::signal(SIGTERM, request_stop);
+    std::signal(SIGINT, request_stop);
     std::signal(SIGPIPE, SIG_IGN);
 }
 
 bool is_stop_wanted()
 {
-    return stop_wanted != 0;
+    return stop_requested != 0;
 }
 
 } // namespace mangofold::runtime
--- a/packages/runtime/program.hpp
+++ b/packages/runtime/program.hpp
@@ -13,18 +13,19 @@
 namespace mangofold::runtime
 {
 
-/// Prints the help text or the version where \a flags ask for it. Returns
-/// whether they did.
+/// Prints the help text or the version if \a flags request one of them.
+/// Returns whether the program has nothing else to do.
 bool answered_information(const settings& flags, const std::string& program);
 
-/// Makes SIGTERM and SIGINT ask the process to stop.
+/// Makes SIGTERM and SIGINT request a stop, and ignores SIGPIPE.
 void watch_signals();
 
-/// Whether the process was asked to stop.
+/// Whether a signal has requested a stop.
 bool is_stop_wanted();
 
-/// Runs what \a make returns, with start, check and stop, until the process
-/// is asked to stop. Returns the exit code.
+/// Starts the root supervisor that \a make returns (as a smart pointer), calls
+/// its check() regularly, and stops it when a signal requests a stop. Returns
+/// the exit code.
 template<typename Make>
 int run_until_signalled(Make make)
 {
@@ -44,9 +45,9 @@
         event("stopped").info();
         return exit_ok;
     }
-    catch (const std::exception& fault)
+    catch (const std::exception& error)
     {
-        event("start_failed").with("fault", fault.what()).error();
+        event("start_failed").with("fault", error.what()).error();
         return exit_failed;
     }
 }
--- a/packages/runtime/settings.cpp
+++ b/packages/runtime/settings.cpp
@@ -15,12 +15,12 @@
 
 constexpr std::string_view prefix = "MANGOFOLD_";
 
-std::string flag_of(const std::string& variable)
+std::string flag_name(const std::string& variable)
 {
     std::string flag = variable.substr(prefix.size());
     std::transform(flag.begin(), flag.end(), flag.begin(),
-                   [](unsigned char one)
-                   { return one == '_' ? '-' : std::tolower(one); });
+                   [](unsigned char letter)
+                   { return letter == '_' ? '-' : std::tolower(letter); });
     return flag;
 }
 
@@ -28,11 +28,11 @@
 
 void settings::read(int argc, const char* const* argv)
 {
-    const auto named = [this](const std::string& variable)
+    const auto known_flag = [this](const std::string& variable)
     {
         if (!variable.starts_with(prefix))
             return std::string();
-        const std::string flag = flag_of(variable);
+        const std::string flag = flag_name(variable);
         return m_known.find_nothrow(flag, false) != nullptr ? flag
                                                             : std::string();
     };
@@ -43,30 +43,30 @@
                       .positional({})
                       .run(),
                   m_values);
-        po::store(po::parse_environment(m_known, named), m_values);
+        po::store(po::parse_environment(m_known, known_flag), m_values);
         po::notify(m_values);
     }
-    catch (const po::error& fault)
+    catch (const po::error& error)
     {
-        throw settings_error(fault.what());
+        throw settings_error(error.what());
     }
 }
 
-unsigned settings::bounded(const std::string& name, unsigned least,
-                           unsigned most) const
+unsigned settings::bounded(const std::string& name, unsigned min,
+                           unsigned max) const
 {
     const auto number = value<unsigned>(name);
-    if (number < least || number > most)
+    if (number < min || number > max)
         throw settings_error("--" + name + " must be between " +
-                             std::to_string(least) + " and " +
-                             std::to_string(most));
+                             std::to_string(min) + " and " +
+                             std::to_string(max));
     return number;
 }
 
 std::string settings::required_text(const std::string& name) const
 {
     if (!has(name) || value<std::string>(name).empty())
-        throw settings_error("--" + name + " is missing");
+        throw settings_error("--" + name + " is missing or empty");
     return value<std::string>(name);
 }
 
@@ -74,8 +74,8 @@
 {
     std::ostringstream out;
     out << m_known
-        << "\nEach flag can also be set in the environment, --http-threads "
-           "as MANGOFOLD_HTTP_THREADS.\n";
+        << "\nEach flag can also be set by an environment variable, for "
+           "example --http-threads by MANGOFOLD_HTTP_THREADS.\n";
     return out.str();
 }
 
@@ -85,9 +85,9 @@
     {
         return address::parse(text);
     }
-    catch (const address_error& fault)
+    catch (const address_error& error)
     {
-        throw settings_error("--" + name + ": " + fault.what());
+        throw settings_error("--" + name + ": " + error.what());
     }
 }
 
--- a/packages/runtime/supervisor.cpp
+++ b/packages/runtime/supervisor.cpp
@@ -10,9 +10,11 @@
 namespace
 {
 
-constexpr decision::duration first_wait = std::chrono::milliseconds(50);
-constexpr decision::duration longest_wait = std::chrono::seconds(5);
-constexpr decision::duration stable_after = std::chrono::seconds(30);
+constexpr decision::duration initial_delay = std::chrono::milliseconds(50);
+constexpr decision::duration max_delay = std::chrono::seconds(5);
+/// A child that ran for this time before its failure is restarted after the
+/// initial delay again.
+constexpr decision::duration stable_run_time = std::chrono::seconds(30);
 
 } // namespace
 
@@ -21,73 +23,74 @@
 {
 }
 
-void supervisor::add(std::unique_ptr<child> one)
+void supervisor::add(std::unique_ptr<child> added)
 {
-    auto* nested = dynamic_cast<supervisor*>(one.get());
-    m_slots.push_back(
-        {std::move(one), nested, decision::backoff(first_wait, longest_wait)});
+    auto* nested = dynamic_cast<supervisor*>(added.get());
+    m_children.push_back({std::move(added), nested,
+                          decision::backoff(initial_delay, max_delay)});
 }
 
 void supervisor::start()
 {
-    for (slot& one : m_slots)
+    for (supervised_child& current : m_children)
     {
-        one.part->start();
-        one.is_running = true;
-        one.started_at = m_clock.now();
+        current.component->start();
+        current.is_running = true;
+        current.started_at = m_clock.now();
     }
 }
 
 void supervisor::stop() noexcept
 {
-    for (auto one = m_slots.rbegin(); one != m_slots.rend(); ++one)
+    for (auto entry = m_children.rbegin(); entry != m_children.rend(); ++entry)
     {
-        if (one->is_running)
-            one->part->stop();
-        one->is_running = false;
+        if (entry->is_running)
+            entry->component->stop();
+        entry->is_running = false;
     }
 }
 
 void supervisor::check()
 {
-    for (slot& one : m_slots)
+    for (supervised_child& current : m_children)
     {
-        if (one.nested != nullptr)
-            one.nested->check();
-        if (one.is_running && one.part->has_failed())
-            note_failure(one);
-        else if (!one.is_running && one.restart_at <= m_clock.now())
-            restart(one);
+        if (current.nested != nullptr)
+            current.nested->check();
+        if (current.is_running && current.component->has_failed())
+            handle_failure(current);
+        else if (!current.is_running && current.restart_at <= m_clock.now())
+            restart(current);
     }
 }
 
-void supervisor::note_failure(slot& one)
+void supervisor::handle_failure(supervised_child& failed)
 {
-    event("child_failed").with("child", one.part->name()).warn();
-    one.part->stop();
-    one.is_running = false;
-    if (one.started_at + stable_after <= m_clock.now())
-        one.wait.reset();
-    one.restart_at = m_clock.now() + one.wait.next(m_random);
+    event("child_failed").with("child", failed.component->name()).warn();
+    failed.component->stop();
+    failed.is_running = false;
+    if (failed.started_at + stable_run_time <= m_clock.now())
+        failed.restart_backoff.reset();
+    failed.restart_at = m_clock.now() + failed.restart_backoff.next(m_random);
 }
 
-void supervisor::restart(slot& one)
+void supervisor::restart(supervised_child& failed)
 {
     ++m_restarts;
     try
     {
-        one.part->start();
-        one.is_running = true;
-        one.started_at = m_clock.now();
-        event("child_restarted").with("child", one.part->name()).info();
+        failed.component->start();
+        failed.is_running = true;
+        failed.started_at = m_clock.now();
+        event("child_restarted").with("child", failed.component->name()).info();
     }
-    catch (const std::exception& fault)
+    catch (const std::exception& error)
     {
         event("child_not_started")
-            .with("child", one.part->name())
-            .with("fault", fault.what())
+            .with("child", failed.component->name())
+            .with("fault", error.what())
             .warn();
-        one.restart_at = m_clock.now() + one.wait.next(m_random);
+        failed.restart_at =
+            m_clock.now() + failed.restart_backoff.next(m_random);
     }
 }
 
--- a/packages/runtime/supervisor.hpp
+++ b/packages/runtime/supervisor.hpp
@@ -11,46 +11,48 @@
 namespace mangofold::runtime
 {
 
-/// Starts its children in order, restarts those that fail after a growing
-/// wait, and stops them in reverse order. A supervisor is a child itself, so
-/// that supervisors form a tree.
+/// Starts its children in order, restarts failed children with exponential
+/// backoff, and stops all of them in reverse order. A supervisor is a child
+/// itself, so that supervisors can form a tree.
 class supervisor : public child
 {
 public:
     supervisor(std::string name, const clock& time);
 
-    /// Adds a child, to be started after those added before it.
-    void add(std::unique_ptr<child> one);
+    /// Adds a child, which is started after the children added before.
+    void add(std::unique_ptr<child> added);
 
     const std::string& name() const override { return m_name; }
     void start() override;
     void stop() noexcept override;
     bool has_failed() const override { return false; }
 
-    /// Restarts the failed children whose wait is over. To be called often.
+    /// Stops children that have failed and restarts those whose backoff delay
+    /// is over, in nested supervisors, too. To be called regularly.
     void check();
 
-    /// Returns how often children were restarted.
+    /// Returns the number of restart attempts, without those of nested
+    /// supervisors.
     std::size_t restarts() const { return m_restarts; }
 
 private:
-    struct slot
+    struct supervised_child
     {
-        std::unique_ptr<child> part;
-        supervisor* nested;
-        decision::backoff wait;
+        std::unique_ptr<child> component;
+        supervisor* nested; ///< The component if it is a supervisor, or null.
+        decision::backoff restart_backoff;
         bool is_running = false;
         decision::instant restart_at{};
         decision::instant started_at{};
     };
 
-    void note_failure(slot& one);
-    void restart(slot& one);
+    void handle_failure(supervised_child& failed);
+    void restart(supervised_child& failed);
 
     std::string m_name;
     const clock& m_clock;
     decision::random_source m_random{1};
-    std::vector<slot> m_slots;
+    std::vector<supervised_child> m_children;
     std::size_t m_restarts = 0;
 };
 
--- a/tests/runtime/http_test.cpp
+++ b/tests/runtime/http_test.cpp
@@ -10,21 +10,22 @@
 
 TEST_SUITE("http client")
 {
-    TEST_CASE("a call on a connection of its own is sent once")
+    TEST_CASE("a call on a new connection is sent only once")
     {
-        // The target takes a redemption and dies before it answers. The HTTP
-        // library must not connect again and send it a second time: the
-        // target may have run it.
+        // The target receives a run request and crashes before its response.
+        // The HTTP library must not reconnect and send the request again,
+        // since the target may have executed it.
         const one_shot_server server(0);
         http_client client({"127.0.0.1", server.port()});
         CHECK_THROWS_AS(client.post("/v1/run", "{}", 5s), http_error);
         CHECK(server.requests() == 1);
     }
 
-    TEST_CASE("a call on a kept connection is sent once")
+    TEST_CASE("a call on a reused connection is sent only once")
     {
-        // A request that ends the target that begins it is lost with a kept
-        // connection. Sent again on a new one, it ends the target twice.
+        // A request that crashes its target also closes the reused connection.
+        // Sent again on a new connection, the request would crash the target
+        // a second time.
         const one_shot_server server(1);
         http_client client({"127.0.0.1", server.port()});
         CHECK(client.post("/v1/run", "{}", 5s).status == 200);
@@ -32,7 +33,7 @@
         CHECK(server.requests() == 2);
     }
 
-    TEST_CASE("a call that got no answer is not called unsent")
+    TEST_CASE("a call without a response is not reported as unsent")
     {
         const one_shot_server server(0);
         http_client client({"127.0.0.1", server.port()});
@@ -41,13 +42,13 @@
             client.post("/v1/run", "{}", 5s);
             FAIL("no error");
         }
-        catch (const http_error& fault)
+        catch (const http_error& error)
         {
-            CHECK(fault.what_failed() == http_error::kind::no_answer);
+            CHECK(error.what_failed() == http_error::kind::no_answer);
         }
     }
 
-    TEST_CASE("a call to a closed port is known to be unsent")
+    TEST_CASE("a call to a closed port is reported as unsent")
     {
         std::uint16_t port = 0;
         {
@@ -60,16 +61,16 @@
             client.post("/v1/run", "{}", 5s);
             FAIL("no error");
         }
-        catch (const http_error& fault)
+        catch (const http_error& error)
         {
-            CHECK(fault.what_failed() == http_error::kind::not_connected);
+            CHECK(error.what_failed() == http_error::kind::not_connected);
         }
     }
 }
 
 TEST_SUITE("http server")
 {
-    TEST_CASE("hands a request to the longest matching path")
+    TEST_CASE("dispatches a request to the handler with the longest prefix")
     {
         http_server server("test", {"127.0.0.1", 1}, {1, 2, 16});
         server.set_handler("/v1",
--- a/tests/runtime/settings_test.cpp
+++ b/tests/runtime/settings_test.cpp
@@ -13,16 +13,16 @@
 
 entry::entry_settings read_entry(std::vector<const char*> flags)
 {
-    std::vector<const char*> all{"mangofold-entry",
-                                 "--id=e1",
-                                 "--zone=z1",
-                                 "--listen=127.0.0.1:1001",
-                                 "--admin=127.0.0.1:1002",
-                                 "--platform=127.0.0.1:1003"};
-    all.insert(all.end(), flags.begin(), flags.end());
+    std::vector<const char*> arguments{"mangofold-entry",
+                                       "--id=e1",
+                                       "--zone=z1",
+                                       "--listen=127.0.0.1:1001",
+                                       "--admin=127.0.0.1:1002",
+                                       "--platform=127.0.0.1:1003"};
+    arguments.insert(arguments.end(), flags.begin(), flags.end());
     runtime::settings settings("test");
     entry::add_flags(settings);
-    settings.read(static_cast<int>(all.size()), all.data());
+    settings.read(static_cast<int>(arguments.size()), arguments.data());
     return entry::checked_settings(settings);
 }
 
@@ -30,7 +30,7 @@
 
 TEST_SUITE("settings")
 {
-    TEST_CASE("flags are read and checked")
+    TEST_CASE("flags are read and validated")
     {
         const entry::entry_settings value =
             read_entry({"--seeds=127.0.0.1:1004,127.0.0.1:1005"});
@@ -38,7 +38,8 @@
         CHECK(value.seeds.size() == 2);
     }
 
-    TEST_CASE("the environment stands in for a flag")
+    TEST_CASE(
+        "an environment variable sets a flag, the command line overrides it")
     {
         setenv("MANGOFOLD_MAX_IN_PROGRESS", "7", 1);
         CHECK(read_entry({}).max_in_progress == 7);
@@ -46,7 +47,7 @@
         unsetenv("MANGOFOLD_MAX_IN_PROGRESS");
     }
 
-    TEST_CASE("bad ones are refused before anything starts")
+    TEST_CASE("invalid settings are rejected before the program starts")
     {
         using runtime::settings_error;
         CHECK_THROWS_AS(read_entry({"--max-in-progress=512"}), settings_error);
