--- a/bench/baseline.cpp
+++ b/bench/baseline.cpp
@@ -133,14 +133,14 @@
 int main(int argc, char** argv)
 {
     runtime::settings flags("baseline: the plain way to compare with");
-    flags.known().add_options()("id", po::value<std::string>())(
+    flags.descriptions().add_options()("id", po::value<std::string>())(
         "zone", po::value<std::string>())("listen", po::value<std::string>())(
         "admin", po::value<std::string>())("platform",
                                            po::value<std::string>());
     try
     {
         flags.read(argc, argv);
-        runtime::start_log("baseline", flags.required_text("id"), "warning");
+        runtime::start_log("baseline", flags.required_string("id"), "warning");
         return runtime::run_until_signalled(
             [&] { return std::make_unique<baseline>(flags); });
     }
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -261,7 +261,7 @@
 int main(int argc, char** argv)
 {
     runtime::settings flags("load: sends requests to the entries");
-    flags.known().add_options()("entries", po::value<std::string>())(
+    flags.descriptions().add_options()("entries", po::value<std::string>())(
         "mix", po::value<std::string>())("out", po::value<std::string>())(
         "seconds", po::value<double>()->default_value(5))(
         "seed", po::value<std::uint64_t>()->default_value(1))(
@@ -270,11 +270,11 @@
     try
     {
         flags.read(argc, argv);
-        const auto mix = read_mix(flags.required_text("mix"));
+        const auto mix = read_mix(flags.required_string("mix"));
         load work(plan(mix, flags.value<double>("seconds"),
                        flags.value<std::uint64_t>("seed")),
-                  split(flags.required_text("entries")),
-                  flags.required_text("out"), flags.value<bool>("keep"));
+                  split(flags.required_string("entries")),
+                  flags.required_string("out"), flags.value<bool>("keep"));
         work.run(flags.value<unsigned>("callers"));
         return runtime::exit_ok;
     }
--- a/packages/configuration/platform_reader.cpp
+++ b/packages/configuration/platform_reader.cpp
@@ -61,7 +61,7 @@
         is_long_poll ? m_pauses.watch + read_timeout : read_timeout;
     try
     {
-        const runtime::http_answer response =
+        const runtime::http_response response =
             is_long_poll ? runtime::watch(m_service, path, timeout,
                                           [this] { return !m_is_stopping; })
                          : m_manifest_client.get(path, timeout);
@@ -91,7 +91,7 @@
     constexpr std::uint32_t readers_at_full_rate = 8;
     try
     {
-        const runtime::http_answer response =
+        const runtime::http_response response =
             m_instances_client.get("/v1/instances", read_timeout);
         count_read("instances", std::to_string(response.status));
         if (response.status == http_ok)
--- a/packages/entry/entry_settings.cpp
+++ b/packages/entry/entry_settings.cpp
@@ -18,7 +18,7 @@
     std::istringstream stream(text);
     std::string seed;
     while (std::getline(stream, seed, ','))
-        seeds.push_back(runtime::parse_flag("seeds", seed));
+        seeds.push_back(runtime::parse_address_flag("seeds", seed));
     return seeds;
 }
 
@@ -29,7 +29,7 @@
     const entry_settings defaults;
     const auto number = [](unsigned default_value)
     { return po::value<unsigned>()->default_value(default_value); };
-    auto add = flags.known().add_options();
+    auto add = flags.descriptions().add_options();
     add("help", "print this text");
     add("version", "print the version");
     add("id", po::value<std::string>(), "ID of this entry");
@@ -59,17 +59,18 @@
 entry_settings checked_settings(const runtime::settings& flags)
 {
     entry_settings value;
-    value.id = flags.required_text("id");
-    value.zone = flags.required_text("zone");
+    value.id = flags.required_string("id");
+    value.zone = flags.required_string("zone");
     value.listen = runtime::address_flag(flags, "listen");
     value.admin = runtime::address_flag(flags, "admin");
     value.platform = runtime::address_flag(flags, "platform");
     value.seeds = parse_seeds(flags.value<std::string>("seeds"));
-    value.http_threads = flags.bounded("http-threads", 4, 4096);
-    value.max_in_progress = flags.bounded("max-in-progress", 1, 4095);
-    value.max_body_bytes = flags.bounded("max-body-bytes", 1024, 1U << 24U);
-    value.links_per_pool = flags.bounded("links-per-pool", 2, 1024);
-    value.drain_ms = flags.bounded("drain-ms", 0, 600'000);
+    value.http_threads = flags.number_in_range("http-threads", 4, 4096);
+    value.max_in_progress = flags.number_in_range("max-in-progress", 1, 4095);
+    value.max_body_bytes =
+        flags.number_in_range("max-body-bytes", 1024, 1U << 24U);
+    value.links_per_pool = flags.number_in_range("links-per-pool", 2, 1024);
+    value.drain_ms = flags.number_in_range("drain-ms", 0, 600'000);
     value.log_level = flags.value<std::string>("log-level");
     // With as many requests as threads, no thread would be left to refuse
     // further requests.
--- a/packages/entry/main.cpp
+++ b/packages/entry/main.cpp
@@ -18,7 +18,7 @@
     try
     {
         flags.read(argc, argv);
-        if (runtime::answered_information(flags, "mangofold-entry"))
+        if (runtime::print_requested_info(flags, "mangofold-entry"))
             return runtime::exit_ok;
         values = entry::checked_settings(flags);
         if (!runtime::start_log("entry", values.id, values.log_level))
--- a/packages/runtime/http_client.cpp
+++ b/packages/runtime/http_client.cpp
@@ -83,8 +83,8 @@
     }
 
     /// Sends \a message once and returns the response. Throws http_error.
-    http_answer call(const http::request<http::string_body>& message,
-                     decision::duration timeout)
+    http_response call(const http::request<http::string_body>& message,
+                       decision::duration timeout)
     {
         m_is_reusable = false;
         m_stream.expires_after(timeout);
@@ -125,24 +125,25 @@
 
 http_client::~http_client() = default;
 
-http_answer http_client::get(const std::string& path,
-                             decision::duration timeout)
+http_response http_client::get(const std::string& path,
+                               decision::duration timeout)
 {
     return execute("GET", path, {}, timeout);
 }
 
-http_answer http_client::post(const std::string& path, const std::string& body,
-                              decision::duration timeout)
+http_response http_client::post(const std::string& path,
+                                const std::string& body,
+                                decision::duration timeout)
 {
     return execute("POST", path, body, timeout);
 }
 
 // A call is sent only once, even if a reused connection is lost during it: a
 // request that crashes its target would crash the target again on a retry.
-http_answer http_client::execute(const std::string& method,
-                                 const std::string& path,
-                                 const std::string& body,
-                                 decision::duration timeout)
+http_response http_client::execute(const std::string& method,
+                                   const std::string& path,
+                                   const std::string& body,
+                                   decision::duration timeout)
 {
     const decision::duration call_timeout =
         std::max<decision::duration>(timeout, min_timeout);
--- a/packages/runtime/http_client.hpp
+++ b/packages/runtime/http_client.hpp
@@ -26,19 +26,20 @@
     {
     }
 
-    kind what_failed() const { return m_kind; }
+    kind error_kind() const { return m_kind; }
 
 private:
     kind m_kind;
 };
 
 /// The response of a server.
-struct http_answer
+struct http_response
 {
     unsigned status = 0;
     std::string body;
 
-    friend bool operator==(const http_answer&, const http_answer&) = default;
+    friend bool operator==(const http_response&,
+                           const http_response&) = default;
 };
 
 /// A blocking HTTP client with one persistent connection, which is opened
@@ -53,15 +54,15 @@
     http_client& operator=(const http_client&) = delete;
 
     /// Returns the response to a GET or POST of \a path. Throws http_error.
-    http_answer get(const std::string& path, decision::duration timeout);
-    http_answer post(const std::string& path, const std::string& body,
-                     decision::duration timeout);
+    http_response get(const std::string& path, decision::duration timeout);
+    http_response post(const std::string& path, const std::string& body,
+                       decision::duration timeout);
 
     const address& server() const { return m_server; }
 
 private:
-    http_answer execute(const std::string& method, const std::string& path,
-                        const std::string& body, decision::duration timeout);
+    http_response execute(const std::string& method, const std::string& path,
+                          const std::string& body, decision::duration timeout);
 
     class connection;
 
--- a/packages/runtime/http_watch.cpp
+++ b/packages/runtime/http_watch.cpp
@@ -29,8 +29,8 @@
         cxxtools::connect(m_client.bodyAvailable, *this, &watcher::handle_body);
     }
 
-    http_answer wait(const std::string& path, decision::duration timeout,
-                     const std::function<bool()>& should_continue)
+    http_response wait(const std::string& path, decision::duration timeout,
+                       const std::function<bool()>& should_continue)
     {
         const std::size_t query_start = path.find('?');
         cxxtools::http::Request request(path.substr(0, query_start));
@@ -75,9 +75,9 @@
 
 } // namespace
 
-http_answer watch(const address& server, const std::string& path,
-                  decision::duration timeout,
-                  const std::function<bool()>& should_continue)
+http_response watch(const address& server, const std::string& path,
+                    decision::duration timeout,
+                    const std::function<bool()>& should_continue)
 {
     try
     {
--- a/packages/runtime/http_watch.hpp
+++ b/packages/runtime/http_watch.hpp
@@ -14,8 +14,8 @@
 /// (long polling). Aborts soon after \a should_continue returns false, so that
 /// a process that stops does not wait for the server. Throws http_error, also
 /// after \a timeout.
-http_answer watch(const address& server, const std::string& path,
-                  decision::duration timeout,
-                  const std::function<bool()>& should_continue);
+http_response watch(const address& server, const std::string& path,
+                    decision::duration timeout,
+                    const std::function<bool()>& should_continue);
 
 } // namespace mangofold::runtime
--- a/packages/runtime/log.cpp
+++ b/packages/runtime/log.cpp
@@ -36,8 +36,8 @@
     return set_default(logger, id, level);
 }
 
-bool start_bounded_log(const std::string& role, const std::string& id,
-                       const std::string& level)
+bool start_nonblocking_log(const std::string& role, const std::string& id,
+                           const std::string& level)
 {
     const auto sink = std::make_shared<bounded_sink>(STDOUT_FILENO);
     return set_default(std::make_shared<spdlog::logger>(role, sink), id, level);
--- a/packages/runtime/log.hpp
+++ b/packages/runtime/log.hpp
@@ -16,7 +16,7 @@
 /// Makes the default logger write to standard output through a bounded_sink,
 /// so that logging never blocks. The caller must flush the logger regularly.
 /// Returns whether \a level is a valid log level.
-bool start_bounded_log(const std::string& role, const std::string& id,
-                       const std::string& level);
+bool start_nonblocking_log(const std::string& role, const std::string& id,
+                           const std::string& level);
 
 } // namespace mangofold::runtime
--- a/packages/runtime/program.cpp
+++ b/packages/runtime/program.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-bool answered_information(const settings& flags, const std::string& program)
+bool print_requested_info(const settings& flags, const std::string& program)
 {
     if (flags.has("help"))
     {
@@ -34,14 +34,14 @@
     return false;
 }
 
-void watch_signals()
+void install_signal_handlers()
 {
     std::signal(SIGTERM, request_stop);
     std::signal(SIGINT, request_stop);
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-bool is_stop_wanted()
+bool is_stop_requested()
 {
     return stop_requested != 0;
 }
--- a/packages/runtime/program.hpp
+++ b/packages/runtime/program.hpp
@@ -15,13 +15,13 @@
 
 /// Prints the help text or the version if \a flags request one of them.
 /// Returns whether the program has nothing else to do.
-bool answered_information(const settings& flags, const std::string& program);
+bool print_requested_info(const settings& flags, const std::string& program);
 
 /// Makes SIGTERM and SIGINT request a stop, and ignores SIGPIPE.
-void watch_signals();
+void install_signal_handlers();
 
 /// Whether a signal has requested a stop.
-bool is_stop_wanted();
+bool is_stop_requested();
 
 /// Starts the root supervisor that \a make returns (as a smart pointer), calls
 /// its check() regularly, and stops it when a signal requests a stop. Returns
@@ -30,12 +30,12 @@
 int run_until_signalled(Make make)
 {
     constexpr std::chrono::milliseconds check_interval{50};
-    watch_signals();
+    install_signal_handlers();
     try
     {
         auto root = make();
         root->start();
-        while (!is_stop_wanted())
+        while (!is_stop_requested())
         {
             std::this_thread::sleep_for(check_interval);
             root->check();
--- a/packages/runtime/settings.cpp
+++ b/packages/runtime/settings.cpp
@@ -33,17 +33,18 @@
         if (!variable.starts_with(prefix))
             return std::string();
         const std::string flag = flag_name(variable);
-        return m_known.find_nothrow(flag, false) != nullptr ? flag
-                                                            : std::string();
+        return m_descriptions.find_nothrow(flag, false) != nullptr
+                   ? flag
+                   : std::string();
     };
     try
     {
         po::store(po::command_line_parser(argc, argv)
-                      .options(m_known)
+                      .options(m_descriptions)
                       .positional({})
                       .run(),
                   m_values);
-        po::store(po::parse_environment(m_known, known_flag), m_values);
+        po::store(po::parse_environment(m_descriptions, known_flag), m_values);
         po::notify(m_values);
     }
     catch (const po::error& error)
@@ -52,8 +53,8 @@
     }
 }
 
-unsigned settings::bounded(const std::string& name, unsigned min,
-                           unsigned max) const
+unsigned settings::number_in_range(const std::string& name, unsigned min,
+                                   unsigned max) const
 {
     const auto number = value<unsigned>(name);
     if (number < min || number > max)
@@ -63,7 +64,7 @@
     return number;
 }
 
-std::string settings::required_text(const std::string& name) const
+std::string settings::required_string(const std::string& name) const
 {
     if (!has(name) || value<std::string>(name).empty())
         throw settings_error("--" + name + " is missing or empty");
@@ -73,13 +74,13 @@
 std::string settings::help() const
 {
     std::ostringstream out;
-    out << m_known
+    out << m_descriptions
         << "\nEach flag can also be set by an environment variable, for "
            "example --http-threads by MANGOFOLD_HTTP_THREADS.\n";
     return out.str();
 }
 
-address parse_flag(const std::string& name, const std::string& text)
+address parse_address_flag(const std::string& name, const std::string& text)
 {
     try
     {
@@ -93,7 +94,7 @@
 
 address address_flag(const settings& flags, const std::string& name)
 {
-    return parse_flag(name, flags.required_text(name));
+    return parse_address_flag(name, flags.required_string(name));
 }
 
 } // namespace mangofold::runtime
--- a/packages/runtime/settings.hpp
+++ b/packages/runtime/settings.hpp
@@ -29,10 +29,13 @@
 class settings
 {
 public:
-    explicit settings(const std::string& caption) : m_known(caption) {}
+    explicit settings(const std::string& caption) : m_descriptions(caption) {}
 
     /// Returns the descriptions of the flags, to which a program adds its own.
-    boost::program_options::options_description& known() { return m_known; }
+    boost::program_options::options_description& descriptions()
+    {
+        return m_descriptions;
+    }
 
     /// Reads the command line and the environment. Throws settings_error.
     void read(int argc, const char* const* argv);
@@ -49,23 +52,24 @@
 
     /// Returns the value of flag \a name. Throws settings_error unless the
     /// value is between \a min and \a max, both included.
-    unsigned bounded(const std::string& name, unsigned min, unsigned max) const;
+    unsigned number_in_range(const std::string& name, unsigned min,
+                             unsigned max) const;
 
     /// Returns the text of flag \a name. Throws settings_error if the text is
     /// missing or empty.
-    std::string required_text(const std::string& name) const;
+    std::string required_string(const std::string& name) const;
 
     /// Returns the help text with the description of every flag.
     std::string help() const;
 
 private:
-    boost::program_options::options_description m_known;
+    boost::program_options::options_description m_descriptions;
     boost::program_options::variables_map m_values;
 };
 
 /// Returns the address in \a text. Throws settings_error, which names flag
 /// \a name, if the text is not a valid address.
-address parse_flag(const std::string& name, const std::string& text);
+address parse_address_flag(const std::string& name, const std::string& text);
 
 /// Returns the address in flag \a name. Throws settings_error if the address is
 /// missing or invalid.
--- a/packages/sidecar/main.cpp
+++ b/packages/sidecar/main.cpp
@@ -15,7 +15,7 @@
     try
     {
         flags.read(argc, argv);
-        if (runtime::answered_information(flags, "mangofold-sidecar"))
+        if (runtime::print_requested_info(flags, "mangofold-sidecar"))
             return runtime::exit_ok;
         values = sidecar::checked_settings(flags);
         if (!runtime::start_log("sidecar", values.target_id, values.log_level))
--- a/packages/sidecar/sidecar_settings.cpp
+++ b/packages/sidecar/sidecar_settings.cpp
@@ -12,7 +12,7 @@
     const sidecar_settings defaults;
     const auto number = [](unsigned default_value)
     { return po::value<unsigned>()->default_value(default_value); };
-    auto add = flags.known().add_options();
+    auto add = flags.descriptions().add_options();
     add("help", "print this text");
     add("version", "print the version");
     add("target-id", po::value<std::string>(),
@@ -43,18 +43,20 @@
 sidecar_settings checked_settings(const runtime::settings& flags)
 {
     sidecar_settings value;
-    value.target_id = flags.required_text("target-id");
-    value.zone = flags.required_text("zone");
+    value.target_id = flags.required_string("target-id");
+    value.zone = flags.required_string("zone");
     value.listen = runtime::address_flag(flags, "listen");
     value.admin = runtime::address_flag(flags, "admin");
     value.target = runtime::address_flag(flags, "target");
     value.platform = runtime::address_flag(flags, "platform");
-    value.target_threads = flags.bounded("target-threads", 1, 512);
-    value.grant_interval_ms = flags.bounded("grant-interval-ms", 50, 1000);
-    value.poll_interval_ms = flags.bounded("poll-interval-ms", 100, 3600000);
-    value.ledger_keys = flags.bounded("ledger-keys", 1, 10'000'000);
-    value.ledger_bytes = flags.bounded("ledger-bytes", 1024, 1U << 30U);
-    value.drain_ms = flags.bounded("drain-ms", 0, 600'000);
+    value.target_threads = flags.number_in_range("target-threads", 1, 512);
+    value.grant_interval_ms =
+        flags.number_in_range("grant-interval-ms", 50, 1000);
+    value.poll_interval_ms =
+        flags.number_in_range("poll-interval-ms", 100, 3600000);
+    value.ledger_keys = flags.number_in_range("ledger-keys", 1, 10'000'000);
+    value.ledger_bytes = flags.number_in_range("ledger-bytes", 1024, 1U << 30U);
+    value.drain_ms = flags.number_in_range("drain-ms", 0, 600'000);
     value.log_level = flags.value<std::string>("log-level");
     return value;
 }
--- a/packages/sidecar/target_caller.cpp
+++ b/packages/sidecar/target_caller.cpp
@@ -128,14 +128,14 @@
     stage_result result;
     try
     {
-        const runtime::http_answer answer =
+        const runtime::http_response answer =
             client.post("/v1/run", run_message(run), time_left);
         result = read_answer(run, answer);
     }
     catch (const runtime::http_error& error)
     {
         const bool is_timeout = m_clock.now() >= started_at + time_left;
-        if (error.what_failed() == runtime::http_error::kind::not_connected)
+        if (error.error_kind() == runtime::http_error::kind::not_connected)
             result = refused(reason::target_down);
         else
             result = unknown_outcome(is_timeout ? reason::target_timeout
--- a/packages/sidecar/target_message.cpp
+++ b/packages/sidecar/target_message.cpp
@@ -50,7 +50,7 @@
 }
 
 stage_result read_answer(const start_run& run,
-                         const runtime::http_answer& answer)
+                         const runtime::http_response& answer)
 {
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
     if (!json.is_object())
--- a/packages/sidecar/target_message.hpp
+++ b/packages/sidecar/target_message.hpp
@@ -18,6 +18,6 @@
 /// target reports that it did not run the work; failed for another error, an
 /// answer that is not a JSON object, or one for another request or stage.
 decision::stage_result read_answer(const decision::start_run& run,
-                                   const runtime::http_answer& answer);
+                                   const runtime::http_response& answer);
 
 } // namespace mangofold::sidecar
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -28,7 +28,7 @@
         const auto kind = flags.value<std::string>("kind");
         if (kind == "platform")
         {
-            std::ifstream file(flags.required_text("manifest"));
+            std::ifstream file(flags.required_string("manifest"));
             std::ostringstream text;
             text << file.rdbuf();
             m_platform = std::make_unique<standins::platform>(
@@ -41,7 +41,7 @@
         initial.service_ms = flags.value<unsigned>("service-ms");
         initial.slots = flags.value<unsigned>("slots");
         m_target = std::make_unique<standins::target>(
-            flags.required_text("id"), kind, initial,
+            flags.required_string("id"), kind, initial,
             flags.value<std::string>("record"));
         m_target->add_to(m_server);
     }
@@ -61,7 +61,7 @@
 int main(int argc, char** argv)
 {
     runtime::settings flags("standin: plays the platform or a target");
-    flags.known().add_options()("kind", po::value<std::string>())(
+    flags.descriptions().add_options()("kind", po::value<std::string>())(
         "id", po::value<std::string>()->default_value("platform"))(
         "listen", po::value<std::string>())("manifest",
                                             po::value<std::string>())(
--- a/tests/runtime/http_test.cpp
+++ b/tests/runtime/http_test.cpp
@@ -44,7 +44,7 @@
         }
         catch (const http_error& error)
         {
-            CHECK(error.what_failed() == http_error::kind::no_answer);
+            CHECK(error.error_kind() == http_error::kind::no_answer);
         }
     }
 
@@ -63,7 +63,7 @@
         }
         catch (const http_error& error)
         {
-            CHECK(error.what_failed() == http_error::kind::not_connected);
+            CHECK(error.error_kind() == http_error::kind::not_connected);
         }
     }
 }
