--- a/packages/runtime/program.cpp
+++ b/packages/runtime/program.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-volatile std::sig_atomic_t stop_wanted = 0;
+volatile std::sig_atomic_t stop_requested = 0;
 
-void note_stop(int)
+void request_stop(int)
 {
-    stop_wanted = 1;
+    stop_requested = 1;
 }
 
 } // namespace
 
-bool answered_information(const settings& flags, const std::string& program)
+bool print_requested_info(const settings& flags, const std::string& program)
 {
     if (flags.has("help"))
     {
@@ -34,16 +34,16 @@
     return false;
 }
 
-void watch_signals()
+void install_signal_handlers()
 {
-    std::signal(SIGTERM, note_stop);
-    std::signal(SIGINT, note_stop);
+    std::signal(SIGTERM, request_stop);
+    std::signal(SIGINT, request_stop);
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-bool is_stop_wanted()
+bool is_stop_requested()
 {
-    return stop_wanted != 0;
+    return stop_requested != 0;
 }
 
 } // namespace mangofold::runtime
--- a/packages/runtime/settings.cpp
+++ b/packages/runtime/settings.cpp
@@ -15,12 +15,12 @@
 
 constexpr std::string_view prefix = "MANGOFOLD_";
 
-std::string flag_of(const std::string& variable)
+std::string flag_name(const std::string& variable)
 {
     std::string flag = variable.substr(prefix.size());
     std::transform(flag.begin(), flag.end(), flag.begin(),
-                   [](unsigned char one)
-                   { return one == '_' ? '-' : std::tolower(one); });
+                   [](unsigned char letter)
+                   { return letter == '_' ? '-' : std::tolower(letter); });
     return flag;
 }
 
@@ -28,72 +28,73 @@
 
 void settings::read(int argc, const char* const* argv)
 {
-    const auto named = [this](const std::string& variable)
+    const auto known_flag = [this](const std::string& variable)
     {
         if (!variable.starts_with(prefix))
             return std::string();
-        const std::string flag = flag_of(variable);
-        return m_known.find_nothrow(flag, false) != nullptr ? flag
-                                                            : std::string();
+        const std::string flag = flag_name(variable);
+        return m_descriptions.find_nothrow(flag, false) != nullptr
+                   ? flag
+                   : std::string();
     };
     try
     {
         po::store(po::command_line_parser(argc, argv)
-                      .options(m_known)
+                      .options(m_descriptions)
                       .positional({})
                       .run(),
                   m_values);
-        po::store(po::parse_environment(m_known, named), m_values);
+        po::store(po::parse_environment(m_descriptions, known_flag), m_values);
         po::notify(m_values);
     }
-    catch (const po::error& fault)
+    catch (const po::error& error)
     {
-        throw settings_error(fault.what());
+        throw settings_error(error.what());
     }
 }
 
-unsigned settings::bounded(const std::string& name, unsigned least,
-                           unsigned most) const
+unsigned settings::number_in_range(const std::string& name, unsigned min,
+                                   unsigned max) const
 {
     const auto number = value<unsigned>(name);
-    if (number < least || number > most)
+    if (number < min || number > max)
         throw settings_error("--" + name + " must be between " +
-                             std::to_string(least) + " and " +
-                             std::to_string(most));
+                             std::to_string(min) + " and " +
+                             std::to_string(max));
     return number;
 }
 
-std::string settings::required_text(const std::string& name) const
+std::string settings::required_string(const std::string& name) const
 {
     if (!has(name) || value<std::string>(name).empty())
-        throw settings_error("--" + name + " is missing");
+        throw settings_error("--" + name + " is missing or empty");
     return value<std::string>(name);
 }
 
 std::string settings::help() const
 {
     std::ostringstream out;
-    out << m_known
-        << "\nEach flag can also be set in the environment, --http-threads "
-           "as MANGOFOLD_HTTP_THREADS.\n";
+    out << m_descriptions
+        << "\nEach flag can also be set by an environment variable, for "
+           "example --http-threads by MANGOFOLD_HTTP_THREADS.\n";
     return out.str();
 }
 
-address parse_flag(const std::string& name, const std::string& text)
+address parse_address_flag(const std::string& name, const std::string& text)
 {
     try
     {
         return address::parse(text);
     }
-    catch (const address_error& fault)
+    catch (const address_error& error)
     {
-        throw settings_error("--" + name + ": " + fault.what());
+        throw settings_error("--" + name + ": " + error.what());
     }
 }
 
 address address_flag(const settings& flags, const std::string& name)
 {
-    return parse_flag(name, flags.required_text(name));
+    return parse_address_flag(name, flags.required_string(name));
 }
 
 } // namespace mangofold::runtime
