--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# The commands of the workspace. Each installs and builds what it needs.
+# Commands for developers. Each target first installs and builds its
+# prerequisites.
 
 BUILD ?= build
 PACKAGES = g++ cmake ninja-build pkg-config python3 \
@@ -16,7 +17,7 @@
 
 all: build
 
-# Installs only what is missing, so that it works without a network too.
+# Skips installed packages, so that this target also works without a network.
 install:
 	@dpkg -s $(PACKAGES) >/dev/null 2>&1 || \
 	(apt-get update -q && apt-get install -y -q $(PACKAGES))
@@ -31,8 +32,8 @@
 up: build
 	$(PYTHON) bench/up.py $(EXAMPLE)
 
-# Tests whose names begin a line of KNOWN-RED.txt fail for a known fault: they
-# are named, and passed over.
+# Tests whose names begin a line of KNOWN-RED.txt fail because of a known fault:
+# they are listed and excluded from the run.
 RED = $(shell sed -n 's/^\([a-z_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | \
 	paste -sd'|')
 test: build
@@ -46,9 +47,9 @@
 bench: build
 	$(PYTHON) bench/scenarios.py $(SCENARIO)
 
-# The channel that wire/callback_threads never destroys is no leak to mend.
-# With sanitizers g++ 12 warns of things in Boost and coroutines that are in
-# order.
+# Leak detection is off because wire/callback_threads never destroys its
+# channel on purpose. With sanitizers, g++ 12 emits false warnings about Boost
+# and coroutines, so those are not errors.
 SANITIZE = -fsanitize=address,undefined -fno-sanitize-recover=all -O1 \
 	-Wno-error=uninitialized -Wno-error=maybe-uninitialized \
 	-Wno-error=mismatched-new-delete
@@ -59,18 +60,21 @@
 	cd $(BUILD)-sanitize && ASAN_OPTIONS=detect_leaks=0 \
 	ctest --output-on-failure --no-tests=error -j4 -E "promises|spec"
 
-# Randomized faults on the real program; each seed plays the same troubles.
+# Injects randomized faults into the real program; a seed always produces the
+# same faults.
 SECONDS ?= 20
 ENTRIES ?= 4
 soak: build
 	$(PYTHON) tests/soak/soak.py $(BUILD)/bin/mangofold-platform-entry \
 	--seed $(SEED) --seconds $(SECONDS) --entries $(ENTRIES) --verbose
 
-# Builds each broken program and looks for a seed that tells it from a sound one.
+# Builds each mutant and searches for a seed that distinguishes it from the
+# unmodified program.
 soak-mutants: build
 	$(PYTHON) tests/soak/mutants.py
 
-# Entries before stand-ins of the platform, until Ctrl-C; prints a curl line.
+# Runs entries with stand-ins of the platform until Ctrl-C, and prints an
+# example curl command.
 platform-run: build
 	$(PYTHON) tests/soak/platform_run.py $(BUILD)/bin/mangofold-platform-entry
 
@@ -91,10 +95,10 @@
 format: install
 	clang-format -i $(SOURCES)
 
-# clang-tidy is slow on the sources that include gRPC; those that decide are
-# checked in CI, all of them with LINT=all.
+# clang-tidy is slow on the sources that include gRPC, so CI checks only the
+# decision, manifest and configuration packages; LINT=all checks all of them.
 LINT ?= decision
-# The users' platform's own names stay in platform/ and its tests.
+# Names of the users' platform may be used only in platform/ and its tests.
 lint: build
 	@! git grep -nIE '(X-Mangofold-|/api/(kv-|stage-|report|hold-|ready))' \
 	-- packages standins bench
--- a/bench/ablation/mechanisms.py
+++ b/bench/ablation/mechanisms.py
@@ -1,5 +1,5 @@
-"""The mechanisms that can be switched off: name, file, what stands there, and
-what takes its place.
+"""The mechanisms that an ablation run disables: name, file, original text and
+replacement.
 """
 
 PLANNER = "packages/decision/call_planner.cpp"
--- a/bench/baseline.cpp
+++ b/bench/baseline.cpp
@@ -1,5 +1,6 @@
-// The plain way to compare with: an entry that calls the targets itself, any
-// target at random, first in first out, and tries again on any error.
+// A simple entry as the baseline of the benchmarks: calls targets directly,
+// picks them at random, serves requests first in, first out, and retries after
+// any error.
 
 #include "decision/random_source.hpp"
 #include "entry/request.hpp"
@@ -36,8 +37,8 @@
         runtime::http_client platform(runtime::address_flag(flags, "platform"));
         m_manifest = manifest::parse(
             platform.get("/v1/manifest?after=0", std::chrono::seconds(5)).body);
-        m_server.set_handler("/v1/requests",
-                             [this](const auto& from) { return serve(from); });
+        m_server.set_handler("/v1/requests", [this](const auto& http_request)
+                             { return serve(http_request); });
         m_admin.set_handler("/",
                             [](const auto&) { return runtime::http_reply{}; });
     }
@@ -55,20 +56,20 @@
     }
 
 private:
-    runtime::http_reply serve(const runtime::http_request& from)
+    runtime::http_reply serve(const runtime::http_request& http_request)
     {
-        constexpr int most_attempts = 3;
-        const entry::request asked = entry::parse_request(from.body);
+        constexpr int max_attempts = 3;
+        const entry::request request = entry::parse_request(http_request.body);
         const manifest::pipeline* pipeline =
-            m_manifest.find_pipeline(asked.pipeline);
-        const auto end = m_clock.now() + asked.deadline;
+            m_manifest.find_pipeline(request.pipeline);
+        const auto deadline = m_clock.now() + request.deadline;
         json previous;
         for (const manifest::stage& stage : pipeline->stages)
         {
             bool is_done = false;
-            for (int attempt = 1; attempt <= most_attempts && !is_done;
+            for (int attempt = 1; attempt <= max_attempts && !is_done;
                  ++attempt)
-                is_done = call(asked, stage, attempt, end, previous);
+                is_done = call(request, stage, attempt, deadline, previous);
             if (!is_done)
                 return {503, "application/json",
                         R"({"outcome":"refused","ran":"no"})", 0};
@@ -80,11 +81,11 @@
             0};
     }
 
-    bool call(const entry::request& asked, const manifest::stage& stage,
-              int attempt, decision::instant end, json& previous)
+    bool call(const entry::request& request, const manifest::stage& stage,
+              int attempt, decision::instant deadline, json& previous)
     {
         thread_local decision::random_source random(
-            std::hash<std::string>{}(asked.id));
+            std::hash<std::string>{}(request.id));
         thread_local std::map<std::string,
                               std::unique_ptr<runtime::http_client>>
             clients;
@@ -95,25 +96,26 @@
         if (!client)
             client = std::make_unique<runtime::http_client>(
                 runtime::address::parse(address));
-        const json body{
-            {"account", asked.account},
-            {"request_id", asked.id},
-            {"stage", stage.id},
-            {"attempt", attempt},
-            {"input",
-             {{"request", json::parse(asked.input)}, {"previous", previous}}}};
-        // A third of the deadline for each attempt.
-        const auto limit = std::min<decision::duration>(end - m_clock.now(),
-                                                        asked.deadline / 3);
-        if (limit <= decision::duration::zero())
+        const json body{{"account", request.account},
+                        {"request_id", request.id},
+                        {"stage", stage.id},
+                        {"attempt", attempt},
+                        {"input",
+                         {{"request", json::parse(request.input)},
+                          {"previous", previous}}}};
+        // Each attempt may take up to a third of the deadline.
+        const auto timeout = std::min<decision::duration>(
+            deadline - m_clock.now(), request.deadline / 3);
+        if (timeout <= decision::duration::zero())
             return false;
         try
         {
-            const auto answer = client->post("/v1/run", body.dump(), limit);
-            const json told = json::parse(answer.body, nullptr, false);
-            if (answer.status != 200 || !told.is_object())
+            const auto response = client->post("/v1/run", body.dump(), timeout);
+            const json response_body =
+                json::parse(response.body, nullptr, false);
+            if (response.status != 200 || !response_body.is_object())
                 return false;
-            previous = told.value("output", json());
+            previous = response_body.value("output", json());
             return true;
         }
         catch (const runtime::http_error&)
@@ -132,7 +134,7 @@
 
 int main(int argc, char** argv)
 {
-    runtime::settings flags("baseline: the plain way to compare with");
+    runtime::settings flags("baseline: a simple entry for comparison");
     flags.known().add_options()("id", po::value<std::string>())(
         "zone", po::value<std::string>())("listen", po::value<std::string>())(
         "admin", po::value<std::string>())("platform",
@@ -144,9 +146,9 @@
         return runtime::run_until_signalled(
             [&] { return std::make_unique<baseline>(flags); });
     }
-    catch (const std::exception& fault)
+    catch (const std::exception& error)
     {
-        std::cerr << "baseline: " << fault.what() << '\n';
+        std::cerr << "baseline: " << error.what() << '\n';
         return runtime::exit_bad_settings;
     }
 }
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Measures the slopes on which docs/CAPACITY.md rests and rewrites its table.
+"""Measures the capacity slopes and rewrites their table in docs/CAPACITY.md.
 
 Usage: capacity.py
-Each slope is a straight line through several sizes; the residual is the
-largest distance of a measured value from it.
+Each slope is a least-squares line through measurements at several sizes. The
+residual is the largest distance of a measured value from the line.
 """
 
 import json
@@ -15,8 +15,8 @@
 
 from fleet import BIN, HOST, ROOT, Fleet, call
 
-PAGE = ROOT / "docs" / "CAPACITY.md"
-BEGIN, END = "<!-- slopes -->", "<!-- end of slopes -->"
+CAPACITY_PAGE = ROOT / "docs" / "CAPACITY.md"
+TABLE_BEGIN, TABLE_END = "<!-- slopes -->", "<!-- end of slopes -->"
 TICKS_PER_S = 100
 
 
@@ -30,33 +30,35 @@
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def lo_bytes():
-    """Bytes that crossed the loopback so far; nothing else uses it."""
+def loopback_bytes():
+    """Returns the bytes that crossed the loopback interface so far; only the
+    fleet uses the interface."""
     for text in Path("/proc/net/dev").read_text().splitlines():
         if text.strip().startswith("lo:"):
             return int(text.split(":")[1].split()[0])
     return 0
 
 
-def line(points):
-    """Returns slope, base and the largest residual of a least-squares line."""
+def fit_line(points):
+    """Returns slope, intercept and largest residual of a least-squares line."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
     spread = sum((x - mean_x) ** 2 for x, _ in points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    base = mean_y - slope * mean_x
-    return slope, base, max(abs(y - base - slope * x) for x, y in points)
+    intercept = mean_y - slope * mean_x
+    return slope, intercept, max(abs(y - intercept - slope * x)
+                                 for x, y in points)
 
 
 def manifest(targets, accounts=1, generation=1):
-    one = [{"id": f"t{number}", "zone": "z1",
-            "address": f"{HOST}:{27000 + number}",
-            "sidecar": f"{HOST}:{27500 + number}"}
-           for number in range(1, targets + 1)]
+    target_list = [{"id": f"t{number}", "zone": "z1",
+                    "address": f"{HOST}:{27000 + number}",
+                    "sidecar": f"{HOST}:{27500 + number}"}
+                   for number in range(1, targets + 1)]
     return {"generation": generation, "resend_horizon_ms": 1000,
             "zones": ["z1"], "models": [],
-            "pools": [{"id": "p", "slots": 64, "targets": one}],
+            "pools": [{"id": "p", "slots": 64, "targets": target_list}],
             "pipelines": [
                 {"id": "four", "class": "urgent", "deadline_ms": 2000,
                  "stages": [{"id": f"s{n}", "pool": "p"} for n in range(4)]},
@@ -68,105 +70,107 @@
                          for number in range(accounts)]}
 
 
-def fleet_of(targets, entries, accounts=1, service_ms=0):
-    made = Fleet(manifest(targets, accounts),
-                 tempfile.mkdtemp(prefix="capacity-"), entries=entries,
-                 first_port=26000, kinds={"p": ("service", service_ms)},
-                 entry_flags=["--links-per-pool", "1024"])
-    made.start()
+def start_fleet(targets, entries, accounts=1, service_ms=0):
+    fleet = Fleet(manifest(targets, accounts),
+                  tempfile.mkdtemp(prefix="capacity-"), entries=entries,
+                  first_port=26000, kinds={"p": ("service", service_ms)},
+                  entry_flags=["--links-per-pool", "1024"])
+    fleet.start()
     time.sleep(1)
-    return made
+    return fleet
 
 
-def idle(fleet, name, seconds=4):
-    """Returns resident KB, and a second's CPU microseconds and bytes on the
-    loopback, those of all processes together."""
+def idle_cost(fleet, name, seconds=4):
+    """Returns resident KB and CPU microseconds per second of an idle process,
+    and the loopback bytes per second of all processes together."""
     pid = fleet.processes[name].pid
-    cpu, io = cpu_s(pid), lo_bytes()
+    cpu_before, bytes_before = cpu_s(pid), loopback_bytes()
     time.sleep(seconds)
-    return (rss_kb(pid), (cpu_s(pid) - cpu) / seconds * 1e6,
-            (lo_bytes() - io) / seconds)
+    return (rss_kb(pid), (cpu_s(pid) - cpu_before) / seconds * 1e6,
+            (loopback_bytes() - bytes_before) / seconds)
 
 
-def links():
-    """Idle cost at each end of a link, by the number of links."""
-    entry, sidecar = [], []
-    for size in (2, 10, 20, 40):
-        fleet = fleet_of(size, 1)
+def link_costs():
+    """Returns the idle cost of an entry and of a sidecar by number of links."""
+    entry_points, sidecar_points = [], []
+    for link_count in (2, 10, 20, 40):
+        fleet = start_fleet(link_count, 1)
         try:
-            entry.append((size, idle(fleet, "entry-1")))
+            entry_points.append((link_count, idle_cost(fleet, "entry-1")))
         finally:
             fleet.stop()
-    for size in (1, 5, 10, 20):
-        fleet = fleet_of(1, size)
+    for link_count in (1, 5, 10, 20):
+        fleet = start_fleet(1, link_count)
         try:
-            sidecar.append((size, idle(fleet, "sidecar t1")))
+            sidecar_points.append((link_count, idle_cost(fleet, "sidecar t1")))
         finally:
             fleet.stop()
-    return entry, sidecar
+    return entry_points, sidecar_points
 
 
-def accounts():
+def account_costs():
     points = []
-    for size in (1, 2000, 4000, 8000):
-        fleet = fleet_of(1, 1, accounts=size)
+    for account_count in (1, 2000, 4000, 8000):
+        fleet = start_fleet(1, 1, accounts=account_count)
         try:
             pid = fleet.processes["entry-1"].pid
-            size_kb = len(json.dumps(fleet.manifest)) / 1024
-            points.append((size, rss_kb(pid), size_kb))
+            manifest_kb = len(json.dumps(fleet.manifest)) / 1024
+            points.append((account_count, rss_kb(pid), manifest_kb))
         finally:
             fleet.stop()
     return points
 
 
-def load(fleet, mix, seconds, callers, keeps=False):
+def run_load(fleet, mix, seconds, callers, keep_alive=False):
     out = Path(fleet.folder) / "load.jsonl"
-    entries = ",".join(one[0] for one in fleet.entries.values())
+    entries = ",".join(entry[0] for entry in fleet.entries.values())
     subprocess.run([BIN / "load", "--entries", entries, "--mix",
                     json.dumps(mix), "--seconds", str(seconds), "--out", out,
-                    "--callers", str(callers), "--keep", str(int(keeps))],
+                    "--callers", str(callers), "--keep", str(int(keep_alive))],
                    check=True)
     rows = [json.loads(text) for text in out.read_text().splitlines()]
-    good = [row for row in rows if row["sendings"] and
-            row["sendings"][-1]["outcome"] == "answered"]
-    return rows, good
+    answered = [row for row in rows if row["sendings"] and
+                row["sendings"][-1]["outcome"] == "answered"]
+    return rows, answered
 
 
-def requests():
-    """CPU microseconds a request of four stages, at entry and sidecars."""
+def request_costs():
+    """Returns requests of four stages per second, with the CPU microseconds
+    per second of the entry and of the sidecars."""
     points = []
-    fleet = fleet_of(4, 1)
+    fleet = start_fleet(4, 1)
     try:
         for rate in (100, 200, 400, 800):
             names = ["entry-1"] + [f"sidecar t{n}" for n in range(1, 5)]
-            before = [cpu_s(fleet.processes[name].pid) for name in names]
-            begun = time.monotonic()
-            _, good = load(fleet, [{"pipeline": "four", "account": "a0",
-                                    "rate_per_s": rate}], 4, 64)
-            wall = time.monotonic() - begun
-            used = [cpu_s(fleet.processes[name].pid) - one
-                    for name, one in zip(names, before)]
-            points.append((len(good) / wall, used[0] / wall * 1e6,
+            cpu_before = [cpu_s(fleet.processes[name].pid) for name in names]
+            started_at = time.monotonic()
+            _, answered = run_load(
+                fleet, [{"pipeline": "four", "account": "a0",
+                         "rate_per_s": rate}], 4, 64)
+            wall = time.monotonic() - started_at
+            used = [cpu_s(fleet.processes[name].pid) - process_cpu_before
+                    for name, process_cpu_before in zip(names, cpu_before)]
+            points.append((len(answered) / wall, used[0] / wall * 1e6,
                            sum(used[1:]) / wall * 1e6))
     finally:
         fleet.stop()
     return points
 
 
-def in_progress():
-    """Resident KB of an entry and a sidecar by requests in progress."""
+def memory_by_in_progress():
+    """Returns the resident KB of an entry by requests in progress."""
     points = []
-    for size in (10, 100, 200, 300):
-        fleet = fleet_of(8, 1, service_ms=1500)
+    for request_count in (10, 100, 200, 300):
+        fleet = start_fleet(8, 1, service_ms=1500)
         try:
-            flood = [{"pipeline": "one", "account": "a0",
-                      "rate_per_s": size / 0.3, "until_s": 0.3,
-                      "deadline_ms": 5000}]
+            mix = [{"pipeline": "one", "account": "a0",
+                    "rate_per_s": request_count / 0.3, "until_s": 0.3,
+                    "deadline_ms": 5000}]
             out = Path(fleet.folder) / "flood.jsonl"
             process = subprocess.Popen(
                 [BIN / "load", "--entries", fleet.entries["entry-1"][0],
-                 "--mix", json.dumps(flood), "--seconds", "1", "--out", out,
-                 "--callers", str(size * 2)])
+                 "--mix", json.dumps(mix), "--seconds", "1", "--out", out,
+                 "--callers", str(request_count * 2)])
             time.sleep(1.1)
             count = call(fleet.admin["entry-1"], "/status")[1]["in_progress"]
             points.append((count, rss_kb(fleet.processes["entry-1"].pid)))
@@ -176,15 +180,16 @@
     return points
 
 
-def ledger():
-    """Resident KB of a sidecar by calls that it remembers."""
+def ledger_memory():
+    """Returns the resident KB of a sidecar by number of keys in its ledger."""
     points = []
-    fleet = fleet_of(1, 1, accounts=4)
+    fleet = start_fleet(1, 1, accounts=4)
     try:
-        time.sleep(6)  # Past the wait of a fresh owner.
-        for turn in range(4):  # The ids repeat, so another account each.
-            load(fleet, [{"pipeline": "once", "account": f"a{turn}",
-                          "rate_per_s": 1500}], 2, 64)
+        time.sleep(6)  # Outlasts the initial wait of a new owner.
+        # The request ids repeat, so each load uses another account.
+        for index in range(4):
+            run_load(fleet, [{"pipeline": "once", "account": f"a{index}",
+                              "rate_per_s": 1500}], 2, 64)
             status = call(fleet.admin["t1"], "/status")[1]
             points.append((status["ledger_keys"],
                            rss_kb(fleet.processes["sidecar t1"].pid)))
@@ -194,75 +199,81 @@
     return points
 
 
-def changes():
-    """CPU microseconds and bytes of one change, by the manifest's size."""
+def change_costs():
+    """Returns the CPU microseconds and bytes of one change by manifest size."""
     points = []
-    for size in (1, 2000, 8000):
-        fleet = fleet_of(2, 1, accounts=size)
+    for account_count in (1, 2000, 8000):
+        fleet = start_fleet(2, 1, accounts=account_count)
         try:
             pid = fleet.processes["entry-1"].pid
-            base = idle(fleet, "entry-1", 2)
+            idle_before = idle_cost(fleet, "entry-1", 2)
             count = 10
-            cpu, io = cpu_s(pid), lo_bytes()
-            begun = time.monotonic()
+            cpu_before, bytes_before = cpu_s(pid), loopback_bytes()
+            started_at = time.monotonic()
             for generation in range(2, 2 + count):
                 call(fleet.platform, "/control", {
-                    "publish": manifest(2, size, generation)})
+                    "publish": manifest(2, account_count, generation)})
                 time.sleep(0.6)
-            wall = time.monotonic() - begun
-            used = (cpu_s(pid) - cpu) * 1e6 - base[1] * wall
-            moved = lo_bytes() - io - base[2] * wall
+            wall = time.monotonic() - started_at
+            used_us = (cpu_s(pid) - cpu_before) * 1e6 - idle_before[1] * wall
+            traffic = loopback_bytes() - bytes_before - idle_before[2] * wall
             points.append((len(json.dumps(fleet.manifest)) / 1024,
-                           used / count, moved / count))
+                           used_us / count, traffic / count))
         finally:
             fleet.stop()
     return points
 
 
-def table(name, unit, points):
-    slope, base, residual = line(points)
-    shown = ", ".join(f"{x:.0f}: {y:.0f}" for x, y in points)
-    return (f"| {name} | {slope:.3g} {unit} | {base:.0f} | {residual:.0f} | "
-            f"{shown} |")
+def table_row(name, unit, points):
+    slope, intercept, residual = fit_line(points)
+    measured = ", ".join(f"{x:.0f}: {y:.0f}" for x, y in points)
+    return (f"| {name} | {slope:.3g} {unit} | {intercept:.0f} "
+            f"| {residual:.0f} | {measured} |")
 
 
 def main():
     rows = ["| what | slope | base | largest residual | measured at |",
             "| --- | --- | --- | --- | --- |"]
-    entry, sidecar = links()
-    for name, points in (("entry", entry), ("sidecar", sidecar)):
-        for index, (what, unit) in enumerate((
+    entry_points, sidecar_points = link_costs()
+    for name, points in (("entry", entry_points), ("sidecar", sidecar_points)):
+        for index, (quantity, unit) in enumerate((
                 ("resident memory", "KB a link"),
                 ("processor, idle", "us/s a link"),
                 ("traffic of the link, idle", "bytes/s a link"))):
-            rows.append(table(f"{name}: {what}", unit,
-                              [(size, all_[index]) for size, all_ in points]))
-    found = accounts()
-    rows.append(table("entry: memory by client accounts", "KB an account",
-                      [(one[0], one[1]) for one in found]))
-    rows.append(table("manifest: size by client accounts", "KB an account",
-                      [(one[0], one[2]) for one in found]))
-    found = requests()
-    rows.append(table("entry: processor by requests of 4 stages",
-                      "us a request", [(one[0], one[1]) for one in found]))
-    rows.append(table("sidecars: processor by requests of 4 stages",
-                      "us for 4 hops", [(one[0], one[2]) for one in found]))
-    rows.append(table("entry: memory by requests in progress",
-                      "KB a request", in_progress()))
-    rows.append(table("sidecar: memory by remembered calls",
-                      "KB a call", ledger()))
-    found = changes()
-    rows.append(table("entry: processor of a change by manifest size",
-                      "us a KB", [(one[0], one[1]) for one in found]))
-    rows.append(table("fleet of 3: traffic of a change by manifest size",
-                      "bytes a KB", [(one[0], one[2]) for one in found]))
+            rows.append(table_row(f"{name}: {quantity}", unit,
+                                  [(size, values[index])
+                                   for size, values in points]))
+    points = account_costs()
+    rows.append(table_row("entry: memory by client accounts", "KB an account",
+                          [(point[0], point[1]) for point in points]))
+    rows.append(table_row("manifest: size by client accounts", "KB an account",
+                          [(point[0], point[2]) for point in points]))
+    points = request_costs()
+    rows.append(table_row("entry: processor by requests of 4 stages",
+                          "us a request",
+                          [(point[0], point[1]) for point in points]))
+    rows.append(table_row("sidecars: processor by requests of 4 stages",
+                          "us for 4 hops",
+                          [(point[0], point[2]) for point in points]))
+    rows.append(table_row("entry: memory by requests in progress",
+                          "KB a request", memory_by_in_progress()))
+    rows.append(table_row("sidecar: memory by remembered calls",
+                          "KB a call", ledger_memory()))
+    points = change_costs()
+    rows.append(table_row("entry: processor of a change by manifest size",
+                          "us a KB",
+                          [(point[0], point[1]) for point in points]))
+    rows.append(table_row("fleet of 3: traffic of a change by manifest size",
+                          "bytes a KB",
+                          [(point[0], point[2]) for point in points]))
     text = "\n".join(rows)
     print(text)
-    if PAGE.exists():
-        page = PAGE.read_text()
-        before, rest = page.split(BEGIN)
-        after = rest.split(END)[1]
-        PAGE.write_text(f"{before}{BEGIN}\n{text}\n{END}{after}")
+    if CAPACITY_PAGE.exists():
+        page = CAPACITY_PAGE.read_text()
+        before, rest = page.split(TABLE_BEGIN)
+        after = rest.split(TABLE_END)[1]
+        CAPACITY_PAGE.write_text(
+            f"{before}{TABLE_BEGIN}\n{text}\n{TABLE_END}{after}")
 
 
 if __name__ == "__main__":
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -13,23 +13,24 @@
 BIN = Path(os.environ.get("MANGOFOLD_BIN", ROOT / "build" / "bin"))
 HOST = "127.0.0.1"
 
-# How the stand-in of each pool works: kind and time of a run.
-KINDS = {"encoders": ("encoder", 4), "retrievers": ("retriever", 6),
-         "rerankers": ("reranker", 8), "generators": ("generator", 120),
-         "booking": ("service", 10), "seats": ("service", 10)}
-PLAIN_SERVICE = ("service", 5)
+# Kind and service time in milliseconds of the stand-ins of each pool.
+STANDIN_KINDS = {
+    "encoders": ("encoder", 4), "retrievers": ("retriever", 6),
+    "rerankers": ("reranker", 8), "generators": ("generator", 120),
+    "booking": ("service", 10), "seats": ("service", 10)}
+DEFAULT_SERVICE = ("service", 5)
 
 
 def call(address, path, body=None, timeout=10.0):
-    """Returns status and parsed JSON of one HTTP call; status 0 where there
-    was no answer."""
+    """Returns the status and parsed JSON body of one HTTP request; status 0
+    when there was no response."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(f"http://{address}{path}", data=data)
     try:
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            status, text = answer.status, answer.read()
-    except urllib.error.HTTPError as fault:
-        status, text = fault.code, fault.read()
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            status, text = response.status, response.read()
+    except urllib.error.HTTPError as error:
+        status, text = error.code, error.read()
     except (OSError, ValueError):
         return 0, {}
     try:
@@ -62,9 +63,9 @@
                                 f"{HOST}:{first_port + 60 + number}",
                                 zones[(number - 1) % len(zones)])
             for number in range(1, entries + 1)}
-        self.targets = {one["id"]: (one, pool)
+        self.targets = {target["id"]: (target, pool)
                         for pool in manifest["pools"]
-                        for one in pool["targets"]}
+                        for target in pool["targets"]}
         self.admin = {}
 
     def start(self):
@@ -86,11 +87,11 @@
 
     def start_target(self, name):
         target, pool = self.targets[name]
-        kind, service = self.kinds.get(
-            pool["id"], KINDS.get(pool["id"], PLAIN_SERVICE))
+        kind, service_ms = self.kinds.get(
+            pool["id"], STANDIN_KINDS.get(pool["id"], DEFAULT_SERVICE))
         self.spawn("target " + name, [
             BIN / "standin", "--kind", kind, "--id", name, "--listen",
-            target["address"], "--service-ms", service, "--slots",
+            target["address"], "--service-ms", service_ms, "--slots",
             pool["slots"], "--record", self.folder / f"{name}.records"])
 
     def start_sidecar(self, name):
@@ -118,11 +119,11 @@
         self.processes[name] = subprocess.Popen(command, stderr=log,
                                                 stdout=log)
 
-    def wait_ready(self, names=None, limit_s=20):
-        latest = time.monotonic() + limit_s
+    def wait_ready(self, names=None, timeout_s=20):
+        deadline = time.monotonic() + timeout_s
         for name in names or list(self.entries):
             while call(self.admin[name], "/readyz", timeout=1)[0] != 200:
-                if time.monotonic() > latest:
+                if time.monotonic() > deadline:
                     raise RuntimeError(f"{name} did not become ready")
                 time.sleep(0.05)
 
@@ -130,26 +131,28 @@
         self.processes[name].send_signal(number)
 
     def restart(self, name):
-        """Starts a process again that has ended."""
+        """Waits for a process to end, then starts it again."""
         self.processes[name].wait(timeout=60)
         self.spawn(name, self.commands[name])
 
     def generations(self):
-        """Returns the generation in force in each process that answers."""
-        found = {}
+        """Returns the active generation of each process that responds."""
+        active = {}
         for name, admin in self.admin.items():
             status, body = call(admin, "/status", timeout=1)
             if status == 200:
-                found[name] = body["generation"]
-        return found
+                active[name] = body["generation"]
+        return active
 
     def stop(self):
-        """Stops everything as planned; returns the exit codes of ours."""
+        """Stops all processes, entries and sidecars first. Returns the exit
+        codes of entries and sidecars; None for one that had to be killed."""
         codes = {}
-        own = [name for name in self.processes
-               if name.startswith(("entry", "sidecar"))]
-        rest = [name for name in self.processes if name not in own]
-        for group in (sorted(own), rest):
+        own_names = [name for name in self.processes
+                     if name.startswith(("entry", "sidecar"))]
+        other_names = [name for name in self.processes
+                       if name not in own_names]
+        for group in (sorted(own_names), other_names):
             for name in group:
                 process = self.processes[name]
                 if process.poll() is None:
@@ -161,15 +164,15 @@
                 except subprocess.TimeoutExpired:
                     self.processes[name].kill()
                     codes[name] = None
-        return {name: codes[name] for name in own}
+        return {name: codes[name] for name in own_names}
 
     def records(self):
-        """Returns what the targets really ran, one dictionary a run."""
+        """Returns the runs that targets recorded, one dictionary per run."""
         runs = []
         for path in self.folder.glob("*.records"):
             for line in path.read_text().splitlines():
                 try:
                     runs.append(json.loads(line))
                 except ValueError:
-                    pass  # The last line of a target that was killed.
+                    pass  # A killed target may leave an incomplete last line.
         return runs
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,5 +1,5 @@
-// Sends an open-loop load to the entries and writes one JSON line for each
-// request: what the caller was told at each sending.
+// Sends an open-loop load to the entries and writes one JSON line per request
+// with the outcome of each time the request was sent.
 
 #include "decision/random_source.hpp"
 #include "runtime/http_client.hpp"
@@ -23,10 +23,10 @@
 namespace
 {
 
-using steady = std::chrono::steady_clock;
+using steady_clock = std::chrono::steady_clock;
 
-/// One kind of request in the mix.
-struct kind
+/// One class of requests in the mix, with its arrival rate.
+struct traffic_class
 {
     std::string pipeline;
     std::string account;
@@ -40,121 +40,137 @@
 struct arrival
 {
     double at_s = 0;
-    const kind* what = nullptr;
+    const traffic_class* traffic = nullptr;
     std::string id;
 };
 
-std::vector<kind> read_mix(const std::string& text)
+std::vector<traffic_class> read_mix(const std::string& text)
 {
-    std::vector<kind> mix;
-    for (const json& one : json::parse(text))
+    std::vector<traffic_class> mix;
+    for (const json& entry : json::parse(text))
         mix.push_back(
-            {one.at("pipeline"), one.at("account"), one.at("rate_per_s"),
-             one.value("from_s", 0.0), one.value("until_s", 1e9),
-             one.value("deadline_ms", 2000U), one.value("ticket", false)});
+            {entry.at("pipeline"), entry.at("account"), entry.at("rate_per_s"),
+             entry.value("from_s", 0.0), entry.value("until_s", 1e9),
+             entry.value("deadline_ms", 2000U), entry.value("ticket", false)});
     return mix;
 }
 
-std::vector<arrival> plan(const std::vector<kind>& mix, double seconds,
-                          std::uint64_t seed)
+std::vector<arrival> plan_arrivals(const std::vector<traffic_class>& mix,
+                                   double seconds, std::uint64_t seed)
 {
     decision::random_source random(seed);
-    std::vector<arrival> all;
-    for (const kind& one : mix)
+    std::vector<arrival> arrivals;
+    for (const traffic_class& traffic : mix)
     {
-        double at = one.from_s;
+        double arrival_s = traffic.from_s;
         while (true)
         {
-            at -= std::log(1 - random.fraction()) / one.rate_per_s;
-            if (at >= std::min(seconds, one.until_s))
+            arrival_s -= std::log(1 - random.fraction()) / traffic.rate_per_s;
+            if (arrival_s >= std::min(seconds, traffic.until_s))
                 break;
-            all.push_back(
-                {at, &one, one.pipeline + "-" + std::to_string(all.size())});
+            arrivals.push_back(
+                {arrival_s, &traffic,
+                 traffic.pipeline + "-" + std::to_string(arrivals.size())});
         }
     }
-    std::sort(all.begin(), all.end(),
+    std::sort(arrivals.begin(), arrivals.end(),
               [](const arrival& a, const arrival& b)
               { return a.at_s < b.at_s; });
-    return all;
+    return arrivals;
 }
 
-/// One caller. Each sending has a connection of its own: on a kept one the
-/// HTTP library sends again by itself after a timeout.
+/// A caller that sends one request at a time. Unless keep-alive is requested,
+/// uses a new connection each time it sends: on a reused connection, the HTTP
+/// library resends a request by itself after a timeout.
 class caller
 {
 public:
-    caller(const std::vector<std::string>& entries, bool keeps) : m_keeps(keeps)
+    caller(const std::vector<std::string>& entries, bool keep_alive)
+        : m_keep_alive(keep_alive)
     {
-        for (const std::string& one : entries)
-            m_entries.push_back(runtime::address::parse(one));
+        for (const std::string& entry : entries)
+            m_entries.push_back(runtime::address::parse(entry));
     }
 
-    /// Sends the request, again elsewhere where there is no answer.
-    json serve(const arrival& one, std::size_t first, steady::time_point begun)
+    /// Sends a request, and retries at the next entry after no answer or from a
+    /// draining entry. Returns the result line.
+    json serve(const arrival& request, std::size_t first,
+               steady_clock::time_point start_time)
     {
-        const auto limit = std::chrono::milliseconds(one.what->deadline_ms);
-        constexpr int most_sendings = 3;
-        json sendings = json::array();
-        json body{{"pipeline", one.what->pipeline},
-                  {"account", one.what->account},
-                  {"request_id", one.id},
-                  {"deadline_ms", one.what->deadline_ms},
-                  {"input", {{"note", one.id}}}};
-        if (one.what->has_ticket && !take_ticket(body, first, limit))
-            sendings.push_back({{"outcome", "no_ticket"}});
-        const bool is_sent = sendings.empty();
-        for (int turn = 0; is_sent && turn < most_sendings; ++turn)
+        const auto time_limit =
+            std::chrono::milliseconds(request.traffic->deadline_ms);
+        constexpr int max_attempts = 3;
+        json outcomes = json::array();
+        json body{{"pipeline", request.traffic->pipeline},
+                  {"account", request.traffic->account},
+                  {"request_id", request.id},
+                  {"deadline_ms", request.traffic->deadline_ms},
+                  {"input", {{"note", request.id}}}};
+        if (request.traffic->has_ticket &&
+            !fetch_ticket(body, first, time_limit))
+            outcomes.push_back({{"outcome", "no_ticket"}});
+        const bool is_sent = outcomes.empty();
+        for (int attempt = 0; is_sent && attempt < max_attempts; ++attempt)
         {
-            const auto left = limit - (steady::now() - begun);
-            if (left <= std::chrono::milliseconds(1))
+            const auto time_left =
+                time_limit - (steady_clock::now() - start_time);
+            if (time_left <= std::chrono::milliseconds(1))
                 break;
-            // Short requests get another chance while there is time.
-            const bool is_patient = limit > std::chrono::seconds(2);
-            const json said =
-                send(body, first + turn, is_patient ? left : left / 2);
-            sendings.push_back(said);
-            const bool is_elsewhere =
-                said.at("outcome") == "no_answer" ||
-                said.value("reason", "") == "entry_draining";
-            if (!is_elsewhere)
+            // Requests with short deadlines reserve time for a retry.
+            const bool has_long_deadline = time_limit > std::chrono::seconds(2);
+            const json outcome =
+                send(body, first + attempt,
+                     has_long_deadline ? time_left : time_left / 2);
+            outcomes.push_back(outcome);
+            const bool should_retry =
+                outcome.at("outcome") == "no_answer" ||
+                outcome.value("reason", "") == "entry_draining";
+            if (!should_retry)
                 break;
         }
-        const double ms =
-            std::chrono::duration<double, std::milli>(steady::now() - begun)
-                .count();
-        return {{"id", one.id},
-                {"pipeline", one.what->pipeline},
-                {"at_s", one.at_s},
+        const double ms = std::chrono::duration<double, std::milli>(
+                              steady_clock::now() - start_time)
+                              .count();
+        return {{"id", request.id},
+                {"pipeline", request.traffic->pipeline},
+                {"at_s", request.at_s},
                 {"ms", ms},
-                {"in_time", ms <= one.what->deadline_ms},
-                {"sendings", sendings}};
+                {"in_time", ms <= request.traffic->deadline_ms},
+                {"sendings", outcomes}};
     }
 
 private:
-    json send(const json& body, std::size_t entry, steady::duration left)
+    json send(const json& body, std::size_t entry_index,
+              steady_clock::duration timeout)
     {
-        const runtime::address& to = m_entries[entry % m_entries.size()];
-        auto& kept = m_kept[to.text()];
-        if (!kept || !m_keeps)
-            kept = std::make_unique<runtime::http_client>(to);
-        runtime::http_client& client = *kept;
+        const runtime::address& entry_address =
+            m_entries[entry_index % m_entries.size()];
+        auto& cached_client = m_clients[entry_address.text()];
+        if (!cached_client || !m_keep_alive)
+            cached_client =
+                std::make_unique<runtime::http_client>(entry_address);
+        runtime::http_client& client = *cached_client;
         try
         {
-            const auto answer = client.post("/v1/requests", body.dump(), left);
-            const json told = json::parse(answer.body, nullptr, false);
-            if (!told.is_object())
+            const auto response =
+                client.post("/v1/requests", body.dump(), timeout);
+            const json response_body =
+                json::parse(response.body, nullptr, false);
+            if (!response_body.is_object())
                 return {{"outcome", "no_answer"}};
             const std::string id = body.at("request_id");
-            const std::string text = told.value("answer", json()).dump();
-            const bool is_answered = told.value("outcome", "") == "answered";
-            const auto told_at =
+            const std::string text =
+                response_body.value("answer", json()).dump();
+            const bool is_answered =
+                response_body.value("outcome", "") == "answered";
+            const auto response_time =
                 std::chrono::duration_cast<std::chrono::milliseconds>(
                     std::chrono::system_clock::now().time_since_epoch())
                     .count();
-            return {{"outcome", told.value("outcome", "")},
-                    {"told_at_ms", told_at},
-                    {"ran", told.value("ran", "")},
-                    {"reason", told.value("reason", "")},
+            return {{"outcome", response_body.value("outcome", "")},
+                    {"told_at_ms", response_time},
+                    {"ran", response_body.value("ran", "")},
+                    {"reason", response_body.value("reason", "")},
                     {"own", !is_answered ||
                                 text.find(id + "\"") != std::string::npos}};
         }
@@ -164,21 +180,24 @@
         }
     }
 
-    /// Returns whether some entry gave a ticket.
-    bool take_ticket(json& body, std::size_t first, steady::duration limit)
+    /// Whether an entry issued a ticket, which is added to the body.
+    bool fetch_ticket(json& body, std::size_t first,
+                      steady_clock::duration time_limit)
     {
-        for (std::size_t turn = 0; turn < m_entries.size(); ++turn)
+        for (std::size_t attempt = 0; attempt < m_entries.size(); ++attempt)
         {
             try
             {
                 runtime::http_client client(
-                    m_entries[(first + turn) % m_entries.size()]);
-                const auto answer =
-                    client.post("/v1/tickets", body.dump(), limit / 4);
-                const json told = json::parse(answer.body, nullptr, false);
-                if (told.is_object() && told.contains("ticket"))
+                    m_entries[(first + attempt) % m_entries.size()]);
+                const auto response =
+                    client.post("/v1/tickets", body.dump(), time_limit / 4);
+                const json response_body =
+                    json::parse(response.body, nullptr, false);
+                if (response_body.is_object() &&
+                    response_body.contains("ticket"))
                 {
-                    body["ticket"] = told["ticket"];
+                    body["ticket"] = response_body["ticket"];
                     return true;
                 }
             }
@@ -190,48 +209,52 @@
         return false;
     }
 
-    bool m_keeps;
+    bool m_keep_alive;
     std::vector<runtime::address> m_entries;
-    std::map<std::string, std::unique_ptr<runtime::http_client>> m_kept;
+    std::map<std::string, std::unique_ptr<runtime::http_client>> m_clients;
 };
 
-/// Hands the arrivals out to the callers, each at its time.
-class load
+/// Sends each arrival at its time from a pool of callers.
+class load_generator
 {
 public:
-    load(std::vector<arrival> arrivals, std::vector<std::string> entries,
-         const std::string& file, bool keeps)
+    load_generator(std::vector<arrival> arrivals,
+                   std::vector<std::string> entries, const std::string& file,
+                   bool keep_alive)
         : m_arrivals(std::move(arrivals)), m_entries(std::move(entries)),
-          m_keeps(keeps), m_out(file)
+          m_keep_alive(keep_alive), m_out(file)
     {
     }
 
     void run(unsigned callers)
     {
-        m_begun = steady::now();
+        m_start_time = steady_clock::now();
         std::vector<std::thread> threads;
         for (unsigned index = 0; index < callers; ++index)
-            threads.emplace_back([this] { work(); });
-        for (std::thread& one : threads)
-            one.join();
+            threads.emplace_back([this] { run_caller(); });
+        for (std::thread& thread : threads)
+            thread.join();
     }
 
 private:
-    void work()
+    void run_caller()
     {
-        caller self(m_entries, m_keeps);
+        caller sender(m_entries, m_keep_alive);
         while (true)
         {
             const std::size_t index = m_next++;
             if (index >= m_arrivals.size())
                 return;
-            const arrival& one = m_arrivals[index];
-            // Late callers count against the system: the load is open.
-            const auto begins =
-                m_begun + std::chrono::duration_cast<steady::duration>(
-                              std::chrono::duration<double>(one.at_s));
-            std::this_thread::sleep_until(begins);
-            const std::string line = self.serve(one, index, begins).dump();
+            const arrival& request = m_arrivals[index];
+            // Latency counts from the scheduled time even if all callers were
+            // busy then, as the load is open-loop.
+            const auto send_time =
+                m_start_time +
+                std::chrono::duration_cast<steady_clock::duration>(
+                    std::chrono::duration<double>(request.at_s));
+            std::this_thread::sleep_until(send_time);
+            const std::string line =
+                sender.serve(request, index, send_time).dump();
             const std::lock_guard lock(m_mutex);
             m_out << line << '\n';
         }
@@ -239,20 +262,20 @@
 
     std::vector<arrival> m_arrivals;
     std::vector<std::string> m_entries;
-    bool m_keeps;
+    bool m_keep_alive;
     std::ofstream m_out;
     std::mutex m_mutex;
     std::atomic<std::size_t> m_next{0};
-    steady::time_point m_begun;
+    steady_clock::time_point m_start_time;
 };
 
 std::vector<std::string> split(const std::string& text)
 {
     std::vector<std::string> parts;
-    std::istringstream all(text);
-    std::string one;
-    while (std::getline(all, one, ','))
-        parts.push_back(one);
+    std::istringstream stream(text);
+    std::string part;
+    while (std::getline(stream, part, ','))
+        parts.push_back(part);
     return parts;
 }
 
@@ -271,16 +294,17 @@
     {
         flags.read(argc, argv);
         const auto mix = read_mix(flags.required_text("mix"));
-        load work(plan(mix, flags.value<double>("seconds"),
-                       flags.value<std::uint64_t>("seed")),
-                  split(flags.required_text("entries")),
-                  flags.required_text("out"), flags.value<bool>("keep"));
-        work.run(flags.value<unsigned>("callers"));
+        load_generator generator(
+            plan_arrivals(mix, flags.value<double>("seconds"),
+                          flags.value<std::uint64_t>("seed")),
+            split(flags.required_text("entries")), flags.required_text("out"),
+            flags.value<bool>("keep"));
+        generator.run(flags.value<unsigned>("callers"));
         return runtime::exit_ok;
     }
-    catch (const std::exception& fault)
+    catch (const std::exception& error)
     {
-        std::cerr << "load: " << fault.what() << '\n';
+        std::cerr << "load: " << error.what() << '\n';
         return runtime::exit_bad_settings;
     }
 }
--- a/bench/up.py
+++ b/bench/up.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Keeps an example deployment up until interrupted, on fixed ports.
+"""Runs an example deployment on fixed ports until interrupted.
 
 Usage: up.py [kowhai|clubs]
 """
@@ -24,10 +24,11 @@
         for entry, (address, admin, zone) in fleet.entries.items():
             print(f"{entry:16}{address}  admin {admin}  zone {zone}  "
                   f"process {fleet.processes[entry].pid}")
-        for target, (one, _) in fleet.targets.items():
-            print(f"{target:16}{one['address']}  "
+        for target, (settings, _) in fleet.targets.items():
+            print(f"{target:16}{settings['address']}  "
                   f"process {fleet.processes['target ' + target].pid}  "
-                  f"sidecar {one['sidecar']}  admin {fleet.admin[target]}  "
+                  f"sidecar {settings['sidecar']}  "
+                  f"admin {fleet.admin[target]}  "
                   f"process {fleet.processes['sidecar ' + target].pid}")
         print(f"logs in {fleet.folder}; Ctrl-C stops the fleet", flush=True)
         while True:
--- a/examples/make_manifest.py
+++ b/examples/make_manifest.py
@@ -1,7 +1,8 @@
 #!/usr/bin/env python3
 """Writes the manifests of the two example deployments.
 
-It stands for the operators' build pipeline: nothing else makes a manifest.
+Takes the place of the operators' build pipeline: no other program generates
+manifests.
 Usage: make_manifest.py kowhai|clubs [GENERATION] > manifest.json
 """
 
@@ -11,13 +12,13 @@
 HOST = "127.0.0.1"
 
 
-class Ports:
-    """Gives every target a port of its own and one for its sidecar."""
+class PortAllocator:
+    """Assigns one port to every target and one to its sidecar."""
 
-    def __init__(self, first):
-        self.next = first
+    def __init__(self, first_port):
+        self.next = first_port
 
-    def take(self):
+    def allocate(self):
         self.next += 1
         return f"{HOST}:{self.next}", f"{HOST}:{self.next + 500}"
 
@@ -25,18 +26,18 @@
 def pool(ports, zones, name, count, slots, **more):
     targets = []
     for number in range(1, count + 1):
-        address, sidecar = ports.take()
+        address, sidecar = ports.allocate()
         targets.append({"id": f"{name}-{number}",
                         "zone": zones[(number - 1) % len(zones)],
                         "address": address, "sidecar": sidecar})
     return {"id": name, "slots": slots, **more, "targets": targets}
 
 
-def four_stages(planner):
+def model_stages(generator_model):
     return [{"id": "encode", "pool": "encoders", "model": "embed:2"},
             {"id": "retrieve", "pool": "retrievers"},
             {"id": "rerank", "pool": "rerankers", "model": "rank:1"},
-            {"id": "generate", "pool": "generators", "model": planner}]
+            {"id": "generate", "pool": "generators", "model": generator_model}]
 
 
 def pipeline(name, priority, deadline_ms, stages):
@@ -44,7 +45,7 @@
             "stages": stages}
 
 
-def one_call(name, priority, deadline_ms, target_pool, repeatable):
+def single_stage(name, priority, deadline_ms, target_pool, repeatable):
     return pipeline(name, priority, deadline_ms,
                     [{"id": name, "pool": target_pool,
                       "repeatable": repeatable}])
@@ -66,7 +67,7 @@
 
 def kowhai(generation):
     zones = ["akl-1", "akl-2", "wlg-1", "chc-1"]
-    ports = Ports(21000)
+    ports = PortAllocator(21000)
     return {
         "generation": generation,
         "resend_horizon_ms": 6000,
@@ -78,14 +79,15 @@
             pool(ports, zones, "rostering", 5, 8),
             pool(ports, zones, "payments", 5, 8)],
         "pipelines": [
-            pipeline("itinerary", "bulk", 4000, four_stages("writer:3+spa")),
+            pipeline("itinerary", "bulk", 4000, model_stages("writer:3+spa")),
             pipeline("voucher-message", "standard", 4000,
-                     four_stages("writer:3+spa")),
-            pipeline("chat", "urgent", 4000, four_stages("chat:5")),
-            one_call("availability", "urgent", 1000, "rostering", True),
-            one_call("points", "standard", 1000, "loyalty", True),
-            one_call("redeem", "urgent", 2000, "booking", False),
-            one_call("pay", "urgent", 2000, "payments", False)],
+                     model_stages("writer:3+spa")),
+            pipeline("chat", "urgent", 4000, model_stages("chat:5")),
+            single_stage("availability", "urgent", 1000, "rostering",
+                         True),
+            single_stage("points", "standard", 1000, "loyalty", True),
+            single_stage("redeem", "urgent", 2000, "booking", False),
+            single_stage("pay", "urgent", 2000, "payments", False)],
         "accounts": [
             {"id": "front-desk", "weight": 8},
             {"id": "online", "weight": 4, "rate_per_s": 500, "burst": 500},
@@ -98,7 +100,7 @@
 
 def clubs(generation):
     zones = ["sjo-1", "sjo-2", "lir-1"]
-    ports = Ports(24000)
+    ports = PortAllocator(24000)
     return {
         "generation": generation,
         "resend_horizon_ms": 6000,
@@ -111,14 +113,14 @@
             pool(ports, zones, "rostering", 5, 8)],
         "pipelines": [
             pipeline("summary-draft", "bulk", 30000,
-                     four_stages("writer:3+clubs")),
+                     model_stages("writer:3+clubs")),
             pipeline("answer-parent", "standard", 4000,
-                     four_stages("chat:5")),
-            one_call("seat-hold", "urgent", 2000, "seats", False),
-            one_call("payment-check", "urgent", 1000, "seats", True),
-            one_call("confirm", "urgent", 3000, "notifications", False),
-            one_call("member", "standard", 1000, "directory", True),
-            one_call("volunteers", "standard", 1000, "rostering", True)],
+                     model_stages("chat:5")),
+            single_stage("seat-hold", "urgent", 2000, "seats", False),
+            single_stage("payment-check", "urgent", 1000, "seats", True),
+            single_stage("confirm", "urgent", 3000, "notifications", False),
+            single_stage("member", "standard", 1000, "directory", True),
+            single_stage("volunteers", "standard", 1000, "rostering", True)],
         "accounts": [
             {"id": "coordinators", "weight": 8},
             {"id": "parents", "weight": 4, "rate_per_s": 300, "burst": 300},
@@ -133,9 +135,9 @@
 def main():
     if len(sys.argv) < 2 or sys.argv[1] not in ("kowhai", "clubs"):
         sys.exit(__doc__)
-    make = {"kowhai": kowhai, "clubs": clubs}[sys.argv[1]]
+    build = {"kowhai": kowhai, "clubs": clubs}[sys.argv[1]]
     generation = int(sys.argv[2]) if len(sys.argv) > 2 else 1
-    print(json.dumps(make(generation), indent=1))
+    print(json.dumps(build(generation), indent=1))
 
 
 if __name__ == "__main__":
