--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -34,7 +34,7 @@
     double from_s = 0;
     double until_s = 1e9;
     unsigned deadline_ms = 2000;
-    bool has_ticket = false;
+    bool needs_ticket = false;
 };
 
 struct arrival
@@ -94,7 +94,7 @@
 
     /// Sends a request, and retries at the next entry after no answer or from a
     /// draining entry. Returns the result line.
-    json serve(const arrival& request, std::size_t first,
+    json serve(const arrival& request, std::size_t first_entry,
                steady_clock::time_point start_time)
     {
         const auto time_limit =
@@ -106,11 +106,11 @@
                   {"request_id", request.id},
                   {"deadline_ms", request.traffic->deadline_ms},
                   {"input", {{"note", request.id}}}};
-        if (request.traffic->has_ticket &&
-            !fetch_ticket(body, first, time_limit))
+        if (request.traffic->needs_ticket &&
+            !fetch_ticket(body, first_entry, time_limit))
             outcomes.push_back({{"outcome", "no_ticket"}});
-        const bool is_sent = outcomes.empty();
-        for (int attempt = 0; is_sent && attempt < max_attempts; ++attempt)
+        const bool is_sendable = outcomes.empty();
+        for (int attempt = 0; is_sendable && attempt < max_attempts; ++attempt)
         {
             const auto time_left =
                 time_limit - (steady_clock::now() - start_time);
@@ -119,7 +119,7 @@
             // Requests with short deadlines reserve time for a retry.
             const bool has_long_deadline = time_limit > std::chrono::seconds(2);
             const json outcome =
-                send(body, first + attempt,
+                send(body, first_entry + attempt,
                      has_long_deadline ? time_left : time_left / 2);
             outcomes.push_back(outcome);
             const bool should_retry =
@@ -159,7 +159,7 @@
             if (!response_body.is_object())
                 return {{"outcome", "no_answer"}};
             const std::string id = body.at("request_id");
-            const std::string text =
+            const std::string answer =
                 response_body.value("answer", json()).dump();
             const bool is_answered =
                 response_body.value("outcome", "") == "answered";
@@ -172,7 +172,7 @@
                     {"ran", response_body.value("ran", "")},
                     {"reason", response_body.value("reason", "")},
                     {"own", !is_answered ||
-                                text.find(id + "\"") != std::string::npos}};
+                                answer.find(id + "\"") != std::string::npos}};
         }
         catch (const runtime::http_error&)
         {
@@ -181,7 +181,7 @@
     }
 
     /// Whether an entry issued a ticket, which is added to the body.
-    bool fetch_ticket(json& body, std::size_t first,
+    bool fetch_ticket(json& body, std::size_t first_entry,
                       steady_clock::duration time_limit)
     {
         for (std::size_t attempt = 0; attempt < m_entries.size(); ++attempt)
@@ -189,7 +189,7 @@
             try
             {
                 runtime::http_client client(
-                    m_entries[(first + attempt) % m_entries.size()]);
+                    m_entries[(first_entry + attempt) % m_entries.size()]);
                 const auto response =
                     client.post("/v1/tickets", body.dump(), time_limit / 4);
                 const json response_body =
@@ -214,7 +214,7 @@
     std::map<std::string, std::unique_ptr<runtime::http_client>> m_clients;
 };
 
-/// Sends each arrival at its time from a pool of callers.
+/// Sends each request at its arrival time from a pool of callers.
 class load_generator
 {
 public:
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -53,23 +53,23 @@
                   first_port=26000, kinds=STANDIN_KINDS)
     try:
         fleet.start()
-        before = call(fleet.platform, "/control")[1]["reads"]
+        reads_before = call(fleet.platform, "/control")[1]["reads"]
         started_at = time.monotonic()
         time.sleep(10)
-        reads = call(fleet.platform, "/control")[1]["reads"] - before
+        reads = call(fleet.platform, "/control")[1]["reads"] - reads_before
         print(f"platform reads without a change: "
               f"{reads / (time.monotonic() - started_at):.2f} a second, "
               f"{len(fleet.entries)} entries, {len(fleet.targets)} sidecars")
-        before = call(fleet.platform, "/control")[1]["reads"]
+        reads_before = call(fleet.platform, "/control")[1]["reads"]
         print_times("a change, platform reachable",
                     measure_changes(fleet, 2, 10))
-        reads = call(fleet.platform, "/control")[1]["reads"] - before
+        reads = call(fleet.platform, "/control")[1]["reads"] - reads_before
         print(f"reads for 10 changes: {reads}")
         call(fleet.platform, "/control", {"leaving": "generators-1"})
-        lag = wait_for(lambda: call(fleet.admin["generators-1"], "/status")[1]
+        lag_s = wait_for(lambda: call(fleet.admin["generators-1"], "/status")[1]
                        .get("leaving"))
         print(f"the leaving mark of a target reached its sidecar after "
-              f"{lag:.3f} s, of which 0.5 s are the lag of the target list")
+              f"{lag_s:.3f} s, of which 0.5 s are the lag of the target list")
     finally:
         fleet.stop()
     # One of the two entries and all sidecars cannot reach the platform.
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -260,7 +260,8 @@
                 counts["lost"] += any((request["id"], stage) not in run_counts
                                       for stage in expected)
             # A reported "not run" is false if a stage had run before the
-            # report, or ran later although the caller did not send again.
+            # report, or ran later although the caller did not send the
+            # request again.
             if sending.get("ran") == "no" and request["id"] in first_run:
                 is_last = sending is request["sendings"][-1]
                 ran_before = first_run[request["id"]] < sending["told_at_ms"]
--- a/bench/whole_path.py
+++ b/bench/whole_path.py
@@ -46,15 +46,15 @@
                 "request_id": f"{pipeline}{number}", "input": {}}
 
         rows = {"direct": [], "one": [], "four": []}
-        for turn in range(5):  # Alternates, so that drift affects all alike.
+        for _ in range(5):  # Alternates, so that drift affects all alike.
             rows["direct"] += request_times(target, "/v1/run", direct_body, 400)
             rows["one"] += request_times(entry, "/v1/requests",
                                          entry_body("one"), 400)
             rows["four"] += request_times(entry, "/v1/requests",
                                           entry_body("four"), 400)
         p50 = {name: statistics.median(times) for name, times in rows.items()}
-        for name, value in p50.items():
-            print(f"{name:8} p50 {value:.3f} ms")
+        for name, p50_ms in p50.items():
+            print(f"{name:8} p50 {p50_ms:.3f} ms")
         hop_ms = (p50["four"] - p50["one"]) / 3 - p50["direct"]
         print(f"an additional hop adds {hop_ms:.3f} ms to a direct call (p50), "
               f"the entry and the first hop add "
