--- a/bench/ablation/mechanisms.py
+++ b/bench/ablation/mechanisms.py
@@ -53,7 +53,7 @@
     ("home of a prompt", ENGINES,
      "        if (candidate == preferred.engine)",
      "        if (candidate == preferred.engine &&\n"
-     "            candidate->start.id.empty())"),
+     "            candidate->incarnation.id.empty())"),
     ("running requests of an engine", ENGINES,
      "constexpr double running_cost = 60;",
      "constexpr double running_cost = 0;"),
