--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: connections they go on using, and requests of five kinds."""
+"""Callers: persistent connections, requests of four kinds, and probes."""
 
 import asyncio
 import itertools
@@ -8,7 +8,7 @@
 from oracle import Sent
 
 BUDGET_S = 3.0
-LEAVING = 0.1  # The share of requests whose callers lose patience early.
+LEAVING = 0.1  # The share of requests that are abandoned early.
 KINDS = {
     "find": ("GET", "/find/x", {}),
     "book": ("POST", "/book/x", {}),
@@ -18,7 +18,7 @@
 
 
 class Connection:
-    """A caller's connection to one entry, kept for many requests."""
+    """A caller's persistent connection to an entry."""
 
     def __init__(self, entry, oracle):
         self.entry = entry
@@ -26,7 +26,7 @@
         self.reader = self.writer = None
 
     async def ask(self, one, method, path, fields, leave_after=None):
-        """Asks; a caller who loses patience closes its connection."""
+        """Sends a request; a caller that gives up closes the connection."""
         try:
             await asyncio.wait_for(self._ask(one, method, path, fields),
                                    leave_after or BUDGET_S + 1)
@@ -71,7 +71,8 @@
             one.body = answer.body
         echoed = answer.field("x-mangofold-request-id")
         if one.status == 200 and echoed != one.request:
-            self.oracle.faults.append(f"{one.request}: answer of {echoed}")
+            self.oracle.faults.append(
+                f"{one.request}: got the response to {echoed}")
         if answer.field("connection") == "close":
             self.close()
 
@@ -100,7 +101,7 @@
         return one
 
     async def run(self, until, pause_s):
-        """Asks one thing after the other, mostly on kept connections."""
+        """Sends one request after another, mostly on open connections."""
         connection = None
         while self.oracle.now() < until:
             await asyncio.sleep(self.random.expovariate(1 / pause_s))
@@ -122,7 +123,7 @@
                 connection = None
 
     async def ask_poison(self, kind, poison, entry):
-        """Asks for what ends each target, as one who asks again would."""
+        """Sends a request that crashes each target that runs it."""
         one = self.request(kind, entry, poison)
         if "-stage-" in poison:
             self.oracle.log.stage_poisons[one.request] = poison
@@ -134,7 +135,7 @@
         self.oracle.note(one)
 
     async def probe(self, until):
-        """Asks entries in turn what versions of routes and keys they know."""
+        """Probes entries in turn for the route and key versions in force."""
         while self.oracle.now() < until:
             for entry in self.oracle.fleet:
                 newest = max(self.oracle.published)
--- a/tests/soak/disorder.py
+++ b/tests/soak/disorder.py
@@ -1,4 +1,4 @@
-"""What goes wrong, drawn from a seed: single troubles, series, overlaps."""
+"""Disturbances drawn from a seed: single, repeated and overlapping ones."""
 
 import asyncio
 import itertools
@@ -8,9 +8,10 @@
 from callers import Caller, KINDS
 
 
-MOST_POISONS = 2  # At a time, so that targets are left for each to end.
-ONLY_IF_NAMED = ("roll", "evacuate", "cold")  # So that earlier seeds play as they did.
-GROW_PAUSE_S = 3  # So that a narrow link could carry all versions.
+MOST_POISONS = 2  # So that each still finds targets to crash.
+# Not drawn by default, so that existing seeds replay unchanged.
+ONLY_IF_NAMED = ("roll", "evacuate", "cold")
+GROW_PAUSE_S = 3  # So that a narrow link can carry all versions.
 
 
 class Disorder:
@@ -45,15 +46,15 @@
         self.story.append(f"{self.oracle.now() - self.began:7.2f} {text}")
 
     def entry(self):
-        """Returns an entry that nothing else is done to just now."""
+        """Returns an undisturbed entry, or None if it is the last one."""
         free = [one for one in self.oracle.fleet if one.is_running()
                 and not one.is_disturbed and not one.is_stopping]
-        if len(free) < 2:  # One always stays, so that somebody answers.
+        if len(free) < 2:  # One always remains to serve requests.
             return None
         return self.random.choice(free)
 
     def target(self):
-        """Returns a target whose service has another one."""
+        """Returns an undisturbed target whose service has another one."""
         free = [one for one in self.world.targets
                 if one.mode == "ok" and one.state == "ready"
                 and self.world.proxies[one.address].mode == "open"]
@@ -80,7 +81,7 @@
             await one.stop_in_order(self.oracle.faults)
 
     async def do_roll(self):
-        """Stops all entries, each soon after the one before."""
+        """Stops all entries one after another, at short intervals."""
         fleet = list(self.oracle.fleet)
         if any(one.is_stopping or one.is_disturbed for one in fleet):
             return
@@ -89,7 +90,7 @@
         self.tell(f"stop all, {gap} s apart")
         stops = []
         for one in fleet:
-            one.is_stopping = True  # Nothing else is done to it.
+            one.is_stopping = True  # No other disturbance picks it.
             stops.append(asyncio.create_task(
                 one.stop_in_order(self.oracle.faults)))
             await asyncio.sleep(gap)
@@ -98,7 +99,8 @@
     async def do_hangup(self):
         if one := self.entry():
             torn = self.random.random() < 0.3
-            self.tell(f"settings of {one.name}{' torn' if torn else ''}")
+            self.tell(f"settings of {one.name} rewritten"
+                      f"{', truncated' if torn else ''}")
             one.write_settings(torn)
             if self.random.random() < 0.6:
                 one.send(signal.SIGHUP)
@@ -106,10 +108,10 @@
             one.write_settings()
 
     async def do_peers(self):
-        """Harms what other entries send to one; its own way out stays."""
+        """Disturbs the connections from other entries to one entry."""
         if one := self.entry():
             mode = self.random.choice(("cut", "silent", "deaf", "slow"))
-            self.tell(f"other entries' way to {one.name} {mode}")
+            self.tell(f"connections of other entries to {one.name}: {mode}")
             one.link.delay = 0.15 if mode == "slow" else 0
             one.link.set_mode("open" if mode == "slow" else mode)
             await asyncio.sleep(self.span(4))
@@ -120,7 +122,7 @@
     async def do_store_of_one(self):
         if one := self.entry():
             mode = self.random.choice(("cut", "silent", "deaf"))
-            self.tell(f"store is {mode} for {one.name}")
+            self.tell(f"store connection of {one.name}: {mode}")
             one.begin_disturbance()
             one.store.set_mode(mode)
             await asyncio.sleep(self.span(4))
@@ -165,7 +167,7 @@
         mode = self.random.choice(("lost", "cut", "slow", "shed", "extra"))
 
         def change(one):
-            self.tell(f"{one.service} {one.id} {mode}")
+            self.tell(f"{one.service} {one.id}: mode {mode}")
             one.mode = mode
         await self._harm_target(change,
                                 lambda one: setattr(one, "mode", "ok"))
@@ -175,7 +177,7 @@
         proxies = self.world.proxies
 
         def change(one):
-            self.tell(f"link to {one.service} {one.id} {mode}")
+            self.tell(f"connections to {one.service} {one.id}: {mode}")
             proxies[one.address].set_mode(mode)
 
         def undo(one):
@@ -185,14 +187,14 @@
 
     async def do_target_crash(self):
         if one := self.target():
-            self.tell(f"crash of {one.service} {one.id}")
+            self.tell(f"crash {one.service} {one.id}")
             one.mode = "gone"
             self.oracle.targets_calm_since = float("inf")
             await self.world.crash(one, self.span(1))
             self.oracle.targets_calm_since = self.oracle.now()
 
     async def do_poison(self):
-        """Callers go on asking all entries for what ends each target."""
+        """Sends all entries a request that crashes each target, for a while."""
         if self.poisoning == MOST_POISONS:
             return
         self.poisoning += 1
@@ -215,14 +217,14 @@
 
     async def do_target_restart(self):
         if one := self.target():
-            self.tell(f"{one.service} {one.id} starts again")
+            self.tell(f"restart {one.service} {one.id}")
             one.mode = "gone"
             self.oracle.targets_calm_since = float("inf")
             await self.world.restart(one, self.span(1))
             self.oracle.targets_calm_since = self.oracle.now()
 
     async def do_foreign_entry(self):
-        """Somebody writes what names no target, also over a good entry."""
+        """Writes an invalid record, for a while also over a valid one."""
         store = self.world.store
         entry = self.world.targets[0].entry()
         bad = self.random.choice((
@@ -230,11 +232,11 @@
             {**entry, "state": "sleeping"}, {**entry, "capacity": "many"},
             {**entry, "backend": "nothing"}, {**entry, "zone": None}))
         store.put(f"servers/x-{self.random.randrange(9)}", bad)
-        self.tell(f"an entry of another writer: {bad}")
+        self.tell(f"invalid record of another writer: {bad}")
         one = self.target()
         if one is None:
             return
-        self.tell(f"the entry of {one.service} {one.id} turns bad")
+        self.tell(f"record of {one.service} {one.id} becomes invalid")
         one.mode = "written over"
         store.put(f"servers/{one.id}", bad)
         began = self.oracle.now()
@@ -244,28 +246,28 @@
         one.mode = "ok"
 
     async def do_evacuate(self):
-        """Evacuates a zone, and takes it back."""
+        """Evacuates a zone for a while."""
         zone = self.random.choice("ab")
         if any(one.zone == zone and not one.ended
                for one in self.oracle.evacuations):
             return
-        self.tell(f"zone {zone} evacuated")
+        self.tell(f"evacuate zone {zone}")
         self.world.set_evacuated(zone, True)
         one = self.oracle.note_evacuated(zone)
         await asyncio.sleep(self.span(4))
         one.ended = self.oracle.now()
         self.world.set_evacuated(zone, False)
-        self.tell(f"zone {zone} taken back")
+        self.tell(f"end evacuation of zone {zone}")
 
     async def do_cold(self):
-        """An engine ends, and another comes in its place, cold."""
+        """Crashes an engine; a cold one replaces it."""
         engines = [one for one in self.world.targets
                    if one.service == "models" and one.mode == "ok"
                    and one.state == "ready"]
         if len(engines) < 2:
             return
         one = self.random.choice(engines)
-        self.tell(f"{one.id} starts again, cold")
+        self.tell(f"replace {one.id} by a cold engine")
         one.mode = "gone"
         self.oracle.targets_calm_since = float("inf")
         await self.world.start_cold(one, self.span(1))
@@ -273,22 +275,22 @@
 
     async def do_replace(self):
         if one := self.target():
-            self.tell(f"{one.service} {one.id} leaves")
+            self.tell(f"replace {one.service} {one.id}")
             await self.world.replace(one, self.oracle.leaving)
 
     async def do_publish(self):
         self.world.publish(self.oracle.published)
-        self.tell(f"version {self.world.version}")
+        self.tell(f"publish version {self.world.version}")
         await asyncio.sleep(0)
 
     async def do_grow(self):
-        """A large configuration, and one more version right after it."""
+        """Publishes two larger configurations in quick succession."""
         if self.oracle.now() < self.grown_at + GROW_PAUSE_S:
             return
         self.grown_at = self.oracle.now()
         self.world.more_routes = min(1500, self.world.more_routes + 500)
         for _ in range(2):
             self.world.publish(self.oracle.published)
-            self.tell(f"version {self.world.version}, "
-                      f"{self.world.more_routes} routes more")
+            self.tell(f"publish version {self.world.version}, "
+                      f"{self.world.more_routes} extra routes")
             await asyncio.sleep(0.3)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The entry processes under test: their settings, signals and ends."""
+"""The entry processes under test: their settings, signals and exits."""
 
 import asyncio
 import os
@@ -8,13 +8,13 @@
 from proxy import Link, Proxy
 
 GRACE_S = 4
-DRAIN_S = 1.0  # In which a leaving target stops getting new work.
-CONFIG_S = 1.0  # In which a configuration is in force.
-TOUCH_S = 2.0  # Calm for this long, a process must keep the bounds.
+DRAIN_S = 1.0  # By then, a draining target gets no new requests.
+CONFIG_S = 1.0  # By then, a published configuration is in force.
+TOUCH_S = 2.0  # After a disturbance, until the bounds hold again.
 
 
 class Entry:
-    """One entry, started again whenever it has ended."""
+    """One entry process, restarted whenever it has exited."""
 
     def __init__(self, program, number, base, store, folder, seeds,
                  downlinks, bytes_per_s=0):
@@ -24,7 +24,7 @@
         port = base + 10 * number
         self.callers, self.readiness, self.peers, at_store = (
             f"127.0.0.1:{port + one}" for one in range(4))
-        # Other entries reach this one through here, unless told to go direct.
+        # Other entries reach this entry through peer_proxy, unless is_direct.
         self.is_direct = False
         self.downlink = Link(bytes_per_s)
         self.link = Proxy(f"127.0.0.1:{port + 4}", self.peers,
@@ -36,10 +36,10 @@
         self.seeds = seeds
         self.process = None
         self.incarnation = 0
-        self.disturbed_at = 0.0  # The newest unplanned disturbance's end.
+        self.disturbed_at = 0.0  # When the last unplanned one ended.
         self.is_disturbed = 0
         self.is_stopping = False
-        self.ends = []  # Ends that nobody asked for.
+        self.ends = []  # Exit codes.
 
     def write_settings(self, torn=False):
         text = f"""node_name = "{self.name}"
@@ -71,7 +71,7 @@
             file.write(text[:len(text) // 2] if torn else text)
 
     async def open(self):
-        """Starts it, and what stands before its store and its peers."""
+        """Starts the process and the proxies for its store and its peers."""
         await self.store.start()
         await self.link.start()
         self.start()
@@ -101,7 +101,7 @@
         self.disturbed_at = asyncio.get_running_loop().time()
 
     def is_calm(self, since):
-        """Whether nothing unplanned has touched it from `since` on."""
+        """Whether no unplanned disturbance has affected it after `since`."""
         return self.is_disturbed == 0 and self.disturbed_at < since
 
     async def wait_end(self, most):
@@ -118,7 +118,7 @@
         self.store.reset()
         await asyncio.sleep(down_s)
         self.start()
-        await asyncio.sleep(1.5)  # It reads all first.
+        await asyncio.sleep(1.5)  # A new process reads the whole state first.
         self.end_disturbance()
 
     async def pause(self, for_s):
@@ -129,11 +129,11 @@
         self.end_disturbance()
 
     async def stop_in_order(self, faults):
-        """Ends it as planned; it must be gone when the grace is over."""
+        """Stops and restarts it; it must exit within its grace period."""
         self.is_stopping = True
         self.send(signal.SIGTERM)
         if not await self.wait_end(GRACE_S + 1):
-            faults.append(f"{self.name}: still there after its grace")
+            faults.append(f"{self.name}: still running after its grace period")
             self.send(signal.SIGKILL)
             await self.wait_end(2)
         self.begin_disturbance()
@@ -142,7 +142,7 @@
         self.end_disturbance()
 
     async def watch(self):
-        """Notes ends that nobody asked for, and starts it again."""
+        """Records unexpected exits and restarts the process."""
         while True:
             await asyncio.sleep(0.1)
             if self.is_running() or self.is_disturbed or self.is_stopping:
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -1,6 +1,6 @@
-"""Builds programs with one safeguard off each; the soak must tell each one.
+"""Builds mutants, each without one safeguard; the soak must detect each.
 
-Works on a copy of the tree and leaves the tree itself alone.
+Works on a copy of the tree and leaves the tree itself unchanged.
 """
 
 import argparse
@@ -10,30 +10,32 @@
 import subprocess
 import sys
 
-# Name, file, what is taken out, what takes its place, troubles that show it,
-# and what else the soak is told.
+# Name, file, source text, its replacement, kinds of disturbances that expose
+# the mutant, and further arguments of the soak.
 NARROW = ["--entries", "6", "--narrow", "3"]
 MUTANTS = [
-    ("sent again after an unknown fate", "packages/decision/sending_record.hpp",
+    ("non-repeatable requests are sent again",
+     "packages/decision/sending_record.hpp",
      "(m_is_repeatable && m_possible_runs < m_max_targets)",
      "m_possible_runs < 3",
      ["target_mode", "target_link"]),
-    ("not run is always said", "packages/serving/exchange_refusals.cpp",
+    ("each failed request is reported as not executed",
+     "packages/serving/exchange_refusals.cpp",
      "if (!m_sends || m_sends->is_known_not_run())", "if (true)",
      ["target_mode", "target_link"]),
-    ("a stray answer is taken for one's own",
+    ("a response to another request is accepted",
      "packages/serving/target_call.cpp",
      "return !m_id.empty() && !m_facts.id.empty() && m_facts.id != m_id;",
      "return false;", ["target_mode"]),
-    ("a leaving target goes on getting work",
+    ("a draining target still gets work",
      "packages/decision/target_directory.hpp",
      "return !known.is_removed && !known.value.is_leaving;",
      "return !known.is_removed;", ["replace"]),
-    ("an evacuated zone goes on getting work",
+    ("an evacuated zone still gets work",
      "packages/decision/target_directory.hpp",
      "return is_in_service(known) && !m_evacuated.contains(known.value.zone);",
      "return is_in_service(known);", ["evacuate"]),
-    ("evacuations are not told to other entries",
+    ("evacuations are not sent to other entries",
      "packages/serving/peer_messages.cpp",
      "    message.set_zones_whole_at(known.complete_as_of);\n",
      "    if (known.complete_as_of > 0)\n        return;\n",
@@ -42,30 +44,31 @@
      "packages/decision/cold_targets.cpp",
      "    cold.cold_until = std::max(cold.cold_until, now + left);",
      "    cold.cold_until = now;", ["cold"]),
-    ("lost history is not read again", "packages/serving/source_reader.cpp",
+    ("no full read after lost history", "packages/serving/source_reader.cpp",
      "        m_has_full_list = false;\n        co_return true;",
      "        co_return true;", ["store", "publish"]),
-    ("a stop ends the process at once", "packages/serving/entry_process.cpp",
+    ("a stopping process exits at once", "packages/serving/entry_process.cpp",
      "m_context.drain->may_exit(now, is_idle)",
-     "is_idle || now >= m_context.drain->started_at() + 6 * drain_check_interval",
+     "is_idle || now >= m_context.drain->started_at() + "
+     "6 * drain_check_interval",
      ["stop"]),
-    ("the key is passed on", "platform/request_dialect.cpp",
+    ("the API key is forwarded to targets", "platform/request_dialect.cpp",
      "fields.erase(http::field::authorization);", "", ["publish"]),
-    ("a hangup has no handler", "packages/serving/settings_reloader.cpp",
+    ("SIGHUP has no handler", "packages/serving/settings_reloader.cpp",
      "m_hangup(context.loop, SIGHUP)", "m_hangup(context.loop)", ["hangup"]),
-    ("a stage gets one of its inputs only", "packages/serving/stage_runner.cpp",
+    ("a stage gets only one of its inputs", "packages/serving/stage_runner.cpp",
      "        const auto& handles = m_states.at(input).handles;\n"
      "        inputs.insert(inputs.end(), handles.begin(), handles.end());",
      "        inputs.push_back(m_states.at(input).handles.front());",
      ["publish"]),
-    ("a bad entry leaves the good one before it in use",
+    ("an invalid record leaves its valid predecessor in use",
      "packages/serving/source_reader_changes.cpp",
      "            report_unreadable(change);\n            break;",
      "            break;", ["foreign_entry"]),
-    ("nobody notices that a caller leaves",
+    ("a disconnected caller goes unnoticed",
      "packages/serving/caller_session.cpp",
      "    m_has_disconnected = true;", "    return;", ["target_mode"]),
-    ("every word of a newer catalog asks for a copy",
+    ("every announcement of a newer catalog requests a copy",
      "packages/serving/peer_mesh.cpp",
      "    if (!catch_up.should_request(address, m_source.source_state(),\n"
      "                                 m_context.now()))\n"
@@ -75,15 +78,15 @@
      "    if (address.empty())\n        return false;\n"
      "    m_target_catch_up.note_unavailable(before);\n",
      ["grow"], NARROW),
-    ("a request that ends its targets is never kept from them",
+    ("a request that crashes targets is never quarantined",
      "packages/decision/quarantine.cpp",
      "    result.outcome = admission::refused;\n", "    return result;\n",
      ["poison"], ["--entries", "6"]),
-    ("entries keep what they know of ends to themselves",
+    ("entries do not share the crashes of targets",
      "packages/serving/target_losses.cpp",
      "if (m_peer_summary == ends.summary())", "if (ends.size() > 0)",
      ["poison"], ["--entries", "6"]),
-    ("what was served lately is blamed all the same",
+    ("recently served requests are blamed for crashes, too",
      "packages/decision/quarantine.cpp",
      "now < found->second + trusted_time;", "now < found->second;",
      ["poison"], ["--entries", "6"]),
@@ -98,7 +101,7 @@
 def build(folder):
     done = run(["cmake", "--build", "build"], folder)
     if done.returncode:
-        sys.exit(f"does not build:\n{done.stdout[-2000:]}")
+        sys.exit(f"the build failed:\n{done.stdout[-2000:]}")
 
 
 def copy_tree(folder):
@@ -126,7 +129,7 @@
         if fault:
             return seed, fault[1]
         if done.returncode:
-            sys.exit(f"the soak itself failed:\n{done.stderr[-2000:]}")
+            sys.exit(f"the soak failed:\n{done.stderr[-2000:]}")
     return None, ""
 
 
@@ -136,7 +139,8 @@
     parser.add_argument("--seeds", type=int, default=6)
     parser.add_argument("--seconds", type=float, default=10)
     parser.add_argument("--base", type=int, default=28000)
-    parser.add_argument("--only", help="mutants whose names hold this")
+    parser.add_argument("--only",
+                        help="only mutants whose names contain this text")
     options = parser.parse_args()
     copy_tree(options.folder)
     missed = 0
@@ -147,7 +151,7 @@
         with open(there, encoding="utf-8") as file:
             text = file.read()
         if before not in text:
-            sys.exit(f"{name}: {path} no longer holds {before!r}")
+            sys.exit(f"{name}: {path} does not contain {before!r}")
         with open(there, "w", encoding="utf-8") as file:
             file.write(text.replace(before, after))
         build(options.folder)
@@ -160,7 +164,7 @@
     build(options.folder)
     seed, fault = find(options.folder, ["target_mode", "stop", "replace"],
                        options)
-    print(f"sound program: {f'seed {seed}: {fault}' if seed else 'clean'}")
+    print(f"unchanged program: {f'seed {seed}: {fault}' if seed else 'clean'}")
     sys.exit(1 if missed or seed else 0)
 
 
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,4 +1,4 @@
-"""Checks what callers and targets saw against the promises."""
+"""Checks the promises against what callers and targets observed."""
 
 import asyncio
 
@@ -6,32 +6,32 @@
 from targets import EVENTS
 
 NOT_RUN = (408, 421, 429, 503)
-LEFT_S = 0.5  # After which nothing goes on for a caller who has left.
-ENDS_KNOWN = 3  # Targets that may end under a request before it is known,
-MORE_SENDS = 3  # and how often it may be sent after that.
-SLACK_S = 0.5  # For a busy machine, on top of each bound.
-STALL_S = 0.25  # Half of it: a stall that the slack may not cover.
+LEFT_S = 0.5  # By then, work for a disconnected caller has been cancelled.
+ENDS_KNOWN = 3  # Targets that a request may crash until it is quarantined.
+MORE_SENDS = 3  # Times that it may be sent after that.
+SLACK_S = 0.5  # Added to each bound, for a busy machine.
+STALL_S = 0.25  # Half of SLACK_S: the slack may not cover a longer stall.
 
 
 class Sent:
-    """One request of a caller and how it ended."""
+    """A request that a caller sent, and its outcome."""
 
     def __init__(self, request, kind, entry, at, poison=""):
         self.request = request
-        self.poison = poison  # What ends each target that begins it.
+        self.poison = poison  # Path that crashes each target that runs it.
         self.kind = kind
         self.entry = entry
         self.incarnation = entry.incarnation
         self.at = at
-        self.status = 0  # 0 without a whole head.
+        self.status = 0  # 0: no complete response head.
         self.is_whole = False
         self.body = b""
         self.ended_at = 0.0
-        self.left_at = None  # When its caller closed the connection.
+        self.left_at = None  # When its caller disconnected.
 
 
 class Evacuation:
-    """A zone that is evacuated, from its acknowledgement on."""
+    """An evacuation of a zone, from its acknowledgement on."""
 
     def __init__(self, zone, began):
         self.zone = zone
@@ -39,7 +39,7 @@
         self.ended = None
 
     def covers(self, at, target):
-        """Whether work that comes to a target then is a fault."""
+        """Whether the target must get no work at that time."""
         return target.zone == self.zone and \
             at > self.began + CONFIG_S + SLACK_S and \
             (self.ended is None or at < self.ended)
@@ -51,14 +51,14 @@
         self.fleet = fleet
         self.sent = {}
         self.faults = log.faults
-        self.published = {}  # Version -> when it was acknowledged.
-        self.leaving = {}  # Target -> when its leaving was acknowledged.
+        self.published = {}  # Version -> time of its acknowledgement
+        self.leaving = {}  # Target id -> start of its draining
         self.evacuations = []
-        self.unlisted = []  # (target, from, to): its entry named none.
-        self.shown = {}  # (entry, incarnation) -> (version, when shown).
+        self.unlisted = []  # (target id, from, to): its record was invalid.
+        self.shown = {}  # (entry, incarnation) -> (version, time)
         self.store_calm_since = 0.0
         self.targets_calm_since = 0.0
-        self.stalled_at = 0.0  # The machine ran nothing of ours for long.
+        self.stalled_at = 0.0  # When the machine last stalled this process.
         self.counts = {}
 
     def now(self):
@@ -69,7 +69,7 @@
         return self.evacuations[-1]
 
     async def watch_machine(self):
-        """Notes stalls of the machine: entries stand still with us."""
+        """Detects stalls of the machine, which stop the entries, too."""
         while True:
             before = self.now()
             await asyncio.sleep(0.05)
@@ -82,7 +82,7 @@
             self.stalled_at < since
 
     def note(self, one):
-        """Checks an end as its caller sees it."""
+        """Checks the outcome of a request as its caller sees it."""
         one.ended_at = self.now()
         if one.left_at:
             key = (one.kind, "left")
@@ -94,8 +94,8 @@
         if one.status in (400, 401, 403, 404) and one.kind != "probe":
             self.faults.append(f"{one.request}: refused with {one.status}")
         if b'"quarantined"' in one.body and not one.poison:
-            self.faults.append(f"{one.request}: a harmless {one.kind} is "
-                               "refused as one that ends targets")
+            self.faults.append(f"{one.request}: a harmless {one.kind} was "
+                               "refused as quarantined")
         if one.status == 200 and one.is_whole:
             self._check_body(one)
         if not one.is_whole:
@@ -112,11 +112,11 @@
             self.faults.append(f"{one.request}: {one.kind} got {one.body!r}")
 
     def _check_lost(self, one):
-        """A request that only planned work touched must be answered."""
+        """Checks that no undisturbed request loses its response."""
         if one.kind == "note" or one.status == 200:
-            return  # Its target may have broken it off.
+            return  # The target may have broken off the response.
         if not self.log.runs.get(one.request):
-            return  # It may have crossed the entry's own close, unread.
+            return  # The entry may have closed the connection unread.
         if self.targets_calm_since < one.at - TOUCH_S and \
                 self.is_calm(one.entry, one.at) and \
                 one.incarnation == one.entry.incarnation:
@@ -124,7 +124,7 @@
                                f"stopping {one.entry.is_stopping}")
 
     def note_probe(self, one, version):
-        """Checks which configuration an entry has in force."""
+        """Checks which configuration version an entry has in force."""
         key = (one.entry.name, one.incarnation)
         newest, since = self.shown.get(key, (0, 0.0))
         serves = one.status == 200 and one.is_whole
@@ -139,15 +139,18 @@
             return
         if one.status in (401, 404) and version == max(self.published) and \
                 one.at > self.published[version] + bound:
-            self.faults.append(f"{one.entry.name}: no version {version} "
-                               f"{one.at - self.published[version]:.1f} s on")
+            self.faults.append(f"{one.entry.name}: version {version} not "
+                               "served "
+                               f"{one.at - self.published[version]:.1f} s "
+                               "after its publication")
         later = self.published.get(version + 1)
         if serves and later and one.at > later + bound:
             self.faults.append(f"{one.entry.name}: version {version} still "
-                               f"served {one.at - later:.1f} s on")
+                               f"served {one.at - later:.1f} s after the next "
+                               "version")
 
     def conclude(self):
-        """Checks what can only be told at the end."""
+        """Runs the checks that need the whole run."""
         for one in self.sent.values():
             runs = self.log.runs.get(one.request, [])
             if one.kind in ("book", "note"):
@@ -159,7 +162,7 @@
                                        f"ran at {runs}")
         for request in self.log.runs:
             if request not in self.sent:
-                self.faults.append(f"{request}: nobody asked for it")
+                self.faults.append(f"{request}: ran, but no caller sent it")
         for at, request, target in self.log.arrivals:
             left = self.leaving.get(target.id)
             one = self.sent.get(request)
@@ -167,7 +170,7 @@
                     self.is_calm(one.entry, at - DRAIN_S):
                 self.faults.append(f"{request}: {one.entry.name} sent it to "
                                    f"{target.id} {at - left:.1f} s after it "
-                                   "began to leave")
+                                   "began to drain")
         self._check_unlisted()
         self._check_evacuated()
         self._check_left()
@@ -176,10 +179,10 @@
         self._check_work_for_nobody()
         for entry in self.fleet:
             for code in entry.ends:
-                self.faults.append(f"{entry.name}: ended by itself: {code}")
+                self.faults.append(f"{entry.name}: exited unexpectedly: {code}")
 
     def _check_unlisted(self):
-        """No work goes where the list names no target any more."""
+        """Checks that no work goes to a target whose record is invalid."""
         for named, began, ended in self.unlisted:
             for at, request, target in self.log.arrivals:
                 one = self.sent.get(request)
@@ -187,11 +190,11 @@
                         began + DRAIN_S + SLACK_S < at < ended and \
                         self.is_calm(one.entry, at - DRAIN_S):
                     self.faults.append(f"{request}: sent to {named} "
-                                       f"{at - began:.1f} s after its entry "
-                                       "turned bad")
+                                       f"{at - began:.1f} s after its "
+                                       "record became invalid")
 
     def _check_evacuated(self):
-        """No work goes to a zone that is evacuated, by whatever entry."""
+        """Checks that no entry sends work to an evacuated zone."""
         for at, request, target in self.log.arrivals:
             one = self.sent.get(request)
             if one and self.is_calm(one.entry, at - CONFIG_S) and \
@@ -209,7 +212,7 @@
                                    f"{target.zone}, which was evacuated")
 
     def _check_poison(self, poison, ends):
-        """What has ended some targets is kept from the others."""
+        """Checks that requests that crash targets are quarantined."""
         if len(ends) < ENDS_KNOWN:
             return
         known = ends[ENDS_KNOWN - 1] + TOUCH_S + SLACK_S
@@ -217,27 +220,29 @@
                 if at > known and request in self.sent
                 and self.sent[request].poison == poison
                 and self.is_calm(self.sent[request].entry, at)]
-        if "-stage-" in poison:  # Calls of pieces have no id of their own.
+        if "-stage-" in poison:  # Calls of pieces carry no request id.
             late = [at for at in ends if at > known]
         if len(late) > MORE_SENDS:
-            self.faults.append(f"{poison}: sent {len(late)} times more after "
-                               f"{ENDS_KNOWN} targets had ended under it, "
-                               f"{len(ends)} in all")
+            self.faults.append(f"{poison}: sent {len(late)} more times after "
+                               f"it had crashed {ENDS_KNOWN} targets, "
+                               f"{len(ends)} in total")
 
     def _check_left(self):
-        """Nothing is sent on for a caller who has left."""
+        """Checks that no request is forwarded after its caller disconnected."""
         for at, request, _ in self.log.arrivals:
             one = self.sent.get(request)
             if one and one.left_at and at > one.left_at + LEFT_S + STALL_S \
                     and self.is_calm(one.entry, one.left_at):
-                self.faults.append(f"{request}: sent on {at - one.left_at:.1f}"
-                                   " s after its caller had left")
+                self.faults.append(f"{request}: forwarded "
+                                   f"{at - one.left_at:.1f} s after its caller "
+                                   "disconnected")
 
     def _check_work_for_nobody(self):
-        """No target is still at work on what its caller has left."""
+        """Checks that no target works for a disconnected caller."""
         for at, request in self.log.ends:
             one = self.sent.get(request)
             if one and one.left_at and at > one.left_at + LEFT_S + STALL_S \
                     and self.is_calm(one.entry, one.left_at):
-                self.faults.append(f"{request}: at work {at - one.left_at:.1f}"
-                                   " s after its caller had left")
+                self.faults.append(f"{request}: still running "
+                                   f"{at - one.left_at:.1f} s after its caller "
+                                   "disconnected")
--- a/tests/soak/platform_run.py
+++ b/tests/soak/platform_run.py
@@ -1,4 +1,4 @@
-"""Keeps entries up before stand-ins of the platform, to try curl on."""
+"""Runs entries before stand-ins of the platform, to try with curl."""
 
 import argparse
 import asyncio
@@ -20,7 +20,7 @@
         for entry in fleet:
             await entry.open()
         await wait_ready(fleet)
-        print("Ctrl-C ends it. Events of a request with two stages:\n"
+        print("Ctrl-C stops the entries. A streamed request with two stages:\n"
               f"curl -N http://{fleet[0].callers}/chat/x -H 'Host: h.example' "
               "-H 'Authorization: Bearer always' "
               "-H 'X-Mangofold-Request-Id: a1' "
@@ -43,7 +43,7 @@
     parser.add_argument("--copies", type=int, default=2)
     parser.add_argument("--base", type=int, default=25000)
     parser.add_argument("--seconds", type=float, default=0,
-                        help="ends by itself after so long")
+                        help="stop after so many seconds; 0: run until Ctrl-C")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         try:
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,14 +1,14 @@
-"""A loopback proxy that harms the connections through it."""
+"""A loopback proxy that disturbs the connections it forwards."""
 
 import asyncio
 import re
 
 
 class Link:
-    """The way to one process, which all its connections share."""
+    """The network link of a process, shared by all its connections."""
 
     def __init__(self, bytes_per_s=0):
-        self.bytes_per_s = bytes_per_s  # 0: as fast as the machine.
+        self.bytes_per_s = bytes_per_s  # 0: not limited.
         self.free_at = 0.0
         self.carried = 0
 
@@ -24,10 +24,13 @@
 class Proxy:
     """Forwards connections from one address to another.
 
-    mode: "open"; "cut" refuses and resets; "silent" takes connections and
-    passes nothing on; "deaf" passes on what the caller sends and loses the
-    answers. `there` is the link to the target; `back` the one to whoever
-    connects, found by the address that it tells first where `callers` knows it.
+    Modes: "open" forwards; "cut" refuses new connections and resets open
+    ones; "silent" accepts connections and forwards nothing; "deaf" forwards
+    the client's bytes and drops the target's.
+
+    `there` is the link to the target, `back` the link to the client. If
+    `callers` has a link for the first address in the client's first bytes,
+    that link is used instead of `back`.
     """
 
     def __init__(self, address, target, there=None, back=None, callers=None):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""Runs real entries against stand-ins, harms them, checks the promises."""
+"""Runs entry processes before stand-ins, disturbs them, checks the promises."""
 
 import argparse
 import asyncio
@@ -12,7 +12,7 @@
 from oracle import Oracle
 from world import WARM_UP, World
 
-SETTLE_S = 4  # After the last trouble, until all must be served again.
+SETTLE_S = 4  # After the last disturbance, until all requests must be served.
 
 
 async def wait_ready(fleet):
@@ -21,7 +21,7 @@
         states = [await is_ready(one) for one in fleet]
         if all(states):
             return
-    raise SystemExit("the entries did not get ready")
+    raise SystemExit("the entries did not become ready")
 
 
 async def is_ready(entry):
@@ -37,7 +37,7 @@
 
 
 async def check_recovery(oracle, seed):
-    """With all troubles over, requests of each kind must be served."""
+    """Checks that requests of each kind are served after all disturbances."""
     caller = Caller(oracle, seed, leaving=0)
     before = dict(oracle.counts)
     ends = [caller.run(oracle.now() + 3, 0.05) for _ in range(4)]
@@ -56,7 +56,7 @@
     if options.only and "cold" in options.only:
         world.warm_up = WARM_UP
     await world.start(options.copies)
-    port = 1002 if options.direct else 1004  # As Entry gives them away.
+    port = 1002 if options.direct else 1004  # As Entry numbers its ports.
     seeds = [f"127.0.0.1:{options.base + port + 10 * one}" for one in (0, 1)]
     downlinks = {}
     fleet = [Entry(options.program, number, options.base + 1000,
@@ -106,7 +106,7 @@
         print(f"FAULT {fault}")
     state = "clean" if not oracle.faults else f"{len(oracle.faults)} faults"
     print(f"seed {options.seed}: {state}, {len(oracle.sent)} requests, "
-          f"{len(disorder.story)} troubles")
+          f"{len(disorder.story)} disturbances")
 
 
 def main():
@@ -119,16 +119,17 @@
     parser.add_argument("--callers", type=int, default=12)
     parser.add_argument("--pause", type=float, default=0.15)
     parser.add_argument("--base", type=int, default=26000,
-                        help="first port; below those the kernel gives away")
+                        help="first port, below the ephemeral port range")
     parser.add_argument("--direct", action="store_true",
-                        help="no proxy before entries; for large fleets")
+                        help="no proxies between entries; for large fleets")
     parser.add_argument("--narrow", type=int, default=0,
-                        help="entries with a narrow link")
+                        help="number of entries with a narrow link")
     parser.add_argument("--narrow-rate", type=float, default=8e5,
-                        help="its bytes a second")
-    parser.add_argument("--only", nargs="*", help="kinds of trouble")
+                        help="bytes per second of a narrow link")
+    parser.add_argument("--only", nargs="*",
+                        help="kinds of disturbances, such as kill")
     parser.add_argument("--verbose", action="store_true")
-    parser.add_argument("--logs", help="keeps the entries' logs there")
+    parser.add_argument("--logs", help="folder for the entries' logs")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as made:
         folder = options.logs or made
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as PROTOCOL describes it for readers."""
+"""Stand-in for the platform's key-value store: the read API of PROTOCOL."""
 
 import asyncio
 import base64
@@ -7,8 +7,8 @@
 
 import wire
 
-PAGE = 5  # Small, so that lists of a few targets come in pages.
-HISTORY = 40  # Changes kept; a watch that is further behind gets 410.
+PAGE = 5  # Small, so that lists of a few targets are paged.
+HISTORY = 40  # Events kept; a watch that is further behind gets 410.
 
 
 class Store:
@@ -18,8 +18,8 @@
         self.events = []
         self.changed = asyncio.Event()
         self.is_down = False
-        self.is_blind = False  # Watches hear nothing of changes meanwhile.
-        self.told = 1  # The newest revision that watches may have heard of.
+        self.is_blind = False  # Changes meanwhile are not sent to watches.
+        self.told = 1  # The newest revision that watches may have received.
 
     def _note(self, event):
         if self.is_blind:
@@ -30,7 +30,7 @@
         self.changed = asyncio.Event()
 
     def put(self, key, value):
-        """Writes what JSON stands for, or bytes as they are."""
+        """Writes a value as JSON; bytes are written unchanged."""
         self.revision += 1
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         raw = base64.b64encode(data).decode()
@@ -45,7 +45,7 @@
             self._note({"key": key, "rev": self.revision, "removed": True})
 
     def forget(self):
-        """Drops the history with what watches have not heard of."""
+        """Drops the history, with the changes that watches have missed."""
         self.is_blind = False
         self.told = self.revision
         self.events = []
@@ -83,7 +83,7 @@
         deadline = asyncio.get_running_loop().time() + \
             int(query["wait_ms"]) / 1000
         while True:
-            # What was dropped can't be told apart from what never was.
+            # Dropped events can't be told apart from events that never were.
             oldest = self.events[0]["rev"] if self.events else self.told + 1
             if after + 1 < oldest and after < self.told:
                 return 410, {}
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the three sorts, and what they saw."""
+"""Stand-ins for the three kinds of targets, and a log of their work."""
 
 import asyncio
 import collections
@@ -9,27 +9,28 @@
 
 import wire
 
-EVENTS = 6  # Of a whole stream.
+EVENTS = 6  # In a complete stream.
 STEP_S = 0.02  # Between events.
-CALL_S = 0.03  # Of a call of pieces.
-BEGIN_S = 0.03  # From a poison request's begin to the end of its target.
+CALL_S = 0.03  # The duration of a call of pieces.
+BEGIN_S = 0.03  # From the start of a poison request to the crash of its target.
 POISON = re.compile(r"/poison-\d+")
-SLOW_S = 1.2  # Of a slow plain target: longer than work may outlast a caller.
+# A slow plain target takes longer than work may outlast its caller.
+SLOW_S = 1.2
 
 
 class Log:
-    """What all targets saw: runs by request, pieces by result."""
+    """The work that all targets did: runs by request, pieces by result."""
 
     def __init__(self):
         self.runs = collections.defaultdict(list)
         self.arrivals = []  # (time, request, target)
-        self.calls = []  # (time, target) of calls of pieces.
-        self.ends = []  # (time, request) of work that was still wanted.
-        self.results = {}  # Result -> (request, stage).
-        self.pieces = {}  # Request -> the pieces that its stages have.
-        self.poison_ends = collections.defaultdict(list)  # By its name.
-        self.stage_poisons = {}  # Request whose pieces end targets -> its name.
-        self.end_target = None  # Ends a target as its process would.
+        self.calls = []  # (time, target)
+        self.ends = []  # (time, request); the caller still waited.
+        self.results = {}  # Result handle -> (request, stage)
+        self.pieces = {}  # Request -> number of pieces of each stage
+        self.poison_ends = collections.defaultdict(list)  # Poison -> times
+        self.stage_poisons = {}  # Request whose pieces crash targets -> poison
+        self.end_target = None  # Crashes a target; set by World.
         self.faults = []
 
     def fault(self, text):
@@ -42,7 +43,7 @@
     def __init__(self, log, service, address, zone, known_as=None):
         self.log = log
         self.service = service
-        self.address = address  # As listed; a proxy may stand there.
+        self.address = address  # As listed; a proxy may listen there.
         self.zone = zone
         self.id = known_as or f"i-{next(self._numbers):06x}"
         self.born = time.time_ns() // 1_000_000
@@ -50,7 +51,7 @@
         self.state = "ready"
         self.server = None
         self.cold_until = 0.0
-        self.cold_most = 0  # Requests that it bears in a second while cold.
+        self.cold_most = 0  # Requests in a second.
         self.cold_sent = []
 
     def begin_cold(self, warm_up):
@@ -59,7 +60,7 @@
         self.cold_most = 1.5 * warm_up["warmup_per_s"] + 5
 
     def note_cold(self, now):
-        """Checks what a cold target gets, of all entries together."""
+        """Checks the rate at which all entries together use a cold target."""
         if now >= self.cold_until:
             return
         self.cold_sent = [at for at in self.cold_sent if at > now - 1] + [now]
@@ -109,7 +110,7 @@
         self.log.runs[request].append(self.id)
 
     async def is_ended_by(self, message):
-        """Runs a request; whether it ended this target."""
+        """Runs a request; returns whether it crashed this target."""
         poison = POISON.search(message.first)
         if not poison:
             return False
@@ -124,7 +125,7 @@
             self.log.end_target(self)
 
     def note_end(self, request, writer):
-        """Notes that work ends, where whoever asked still waits for it."""
+        """Records the end of a request whose client is still connected."""
         if not writer.is_closing() and not writer.has_ended():
             now = asyncio.get_running_loop().time()
             self.log.ends.append((now, request))
@@ -134,7 +135,7 @@
     async def work(self, message, writer):
         request = message.field("x-mangofold-request-id")
         if message.field("authorization"):
-            self.log.fault(f"{request}: the key was passed on")
+            self.log.fault(f"{request}: the API key was forwarded to a target")
         self.run(request)
         if await self.is_ended_by(message):
             return
@@ -149,7 +150,7 @@
             writer.write(raw[:-4])
             writer.close()
             return
-        # The second answer to the request before comes where this one's is due.
+        # In mode "extra", a response is sent again before the next response.
         writer.write(getattr(writer, "stray", b"") + raw)
         writer.stray = raw if self.mode == "extra" else b""
 
@@ -159,13 +160,13 @@
         handles = [one for one in
                    message.field("x-mangofold-inputs").split(",") if one]
         if len(set(handles)) != len(handles):
-            self.log.fault(f"{request}: one input twice")
+            self.log.fault(f"{request}: an input is listed twice")
         for handle in handles:
             made_for = self.log.results.get(handle)
             if made_for is None:
                 return 409
             if made_for[0] != request:
-                self.log.fault(f"{request}: input of {made_for[0]}")
+                self.log.fault(f"{request}: got an input of {made_for[0]}")
         wanted = message.field("x-mangofold-pieces").split(",")
         if int(wanted[-1] or 0) != len(handles):
             self.log.fault(f"{request}: {len(handles)} of {wanted[-1]} inputs")
@@ -237,13 +238,13 @@
             if made_for is None:
                 return {"why": "gone"}
             if made_for != (request, item["stage"] - 1):
-                self.log.fault(f"{request}: piece with input of {made_for}")
+                self.log.fault(f"{request}: a piece got an input of {made_for}")
         if item["stage"] > 0:
             wanted = self.log.pieces[request][item["stage"] - 1]
             got = item.get("inputs", [])
             if len(set(got)) != wanted or len(got) != wanted:
-                self.log.fault(f"{request}: a later piece with {len(got)} of "
-                               f"{wanted} inputs")
+                self.log.fault(f"{request}: a dependent piece has "
+                               f"{len(got)} of {wanted} inputs")
         handle = f"{self.address}/{next(self._results):x}"
         self.log.results[handle] = (request, item["stage"])
         return {"handle": handle}
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -1,14 +1,14 @@
-"""HTTP/1.1 as the stand-ins and callers of the soak need it."""
+"""The subset of HTTP/1.1 that the soak's stand-ins and callers need."""
 
 import asyncio
 
 
 class Closed(Exception):
-    """The other side ended or broke the connection."""
+    """The peer closed or reset the connection."""
 
 
 class Message:
-    """A request or an answer: its first line, fields and body."""
+    """A request or a response: its start line, header fields and body."""
 
     def __init__(self, first, fields, body=b""):
         self.first = first
@@ -35,7 +35,7 @@
 
 
 async def read_chunk(reader):
-    """Returns the next chunk of a chunked body, empty at its end."""
+    """Returns the next chunk of a chunked body; empty after the last one."""
     try:
         size = int(await reader.readuntil(b"\r\n"), 16)
         return (await reader.readexactly(size + 2))[:-2]
@@ -56,7 +56,7 @@
 
 
 def answer(status, body=b"", **fields):
-    """Returns the bytes of an answer; _ in a field's name stands for -."""
+    """Returns a serialized response; _ in a field's name stands for -."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}"
               for name, value in fields.items()]
@@ -68,11 +68,11 @@
 
 
 async def serve(address, handle):
-    """Serves requests at address; handle(message, writer) answers each."""
+    """Serves requests at an address; handle(message, writer) answers each."""
     host, port = address.rsplit(":", 1)
 
     async def keep(reader, writer):
-        writer.has_ended = reader.at_eof  # Whether the other side closed.
+        writer.has_ended = reader.at_eof  # Whether the peer closed.
         try:
             while True:
                 message = await read_head(reader)
@@ -80,7 +80,7 @@
                 await handle(message, writer)
                 await writer.drain()
         except (Closed, ConnectionError, asyncio.CancelledError):
-            pass  # It has left, or the run is over.
+            pass  # The peer disconnected, or the run is over.
         finally:
             writer.close()
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""A small platform around the entries: store, operator and targets."""
+"""A small platform for the entries under test: store, operator, targets."""
 
 import asyncio
 
@@ -9,13 +9,14 @@
 from targets import Engine, Log, Plain, Stage
 
 SERVICES = {"desk": Plain, "models": Engine, "encode": Stage, "rank": Stage}
-BACK_S = 0.2  # After its entry has gone, until another takes its place.
-BEAT_S = 0.4  # A silent target's entry goes after three of these.
-WARM_UP = {"warmup_s": 2.0, "warmup_per_s": 4.0}  # Of engines, where wanted.
+BACK_S = 0.2  # From the removal of a crashed target to its replacement.
+BEAT_S = 0.4  # A dead target's record is removed after three of these.
+# Warm-up settings of the engines' service, if enabled.
+WARM_UP = {"warmup_s": 2.0, "warmup_per_s": 4.0}
 
 
 def configuration(version, more_routes=0, warm_up=None):
-    """Returns one version: routes for all, one that only it has, and more."""
+    """Returns one version: the shared routes, its own route, and extra ones."""
     def route(name, kind, service, **more):
         return {"name": name, "host": "h.example", "prefix": f"/{name}/",
                 "route_type": kind, "timeout_ms": 3000,
@@ -58,10 +59,10 @@
         self.log = Log()
         self.log.end_target = self.end_by_itself
         self.targets = []
-        self.proxies = {}  # Of targets, by their listed address.
+        self.proxies = {}  # Of targets, by listed address.
         self.version = 1
         self.more_routes = 0
-        self.warm_up = None  # As WARM_UP: engines start cold.
+        self.warm_up = None  # WARM_UP, if engines start cold.
         self._next_port = base + 1
         self._crashes = set()
 
@@ -78,8 +79,8 @@
                 await self.add(service, "ab"[number % 2])
 
     async def add(self, service, zone, listed=None, known_as=None):
-        """Starts a target; `listed` is an address that was used before, and
-        `known_as` the id of one that starts again."""
+        """Starts a target. `listed` is the listed address of an earlier
+        target, `known_as` the id of a target that restarts."""
         real = self.port()
         if listed is None:
             listed = self.port()
@@ -99,7 +100,7 @@
         self.store.remove(f"servers/{one.id}")
 
     def end(self, one):
-        """Ends a target without a word, with all that it holds."""
+        """Kills a target without notice; its stored results are lost."""
         self.proxies[one.address].set_mode("cut")
         one.stop()
         for handle in list(self.log.results):
@@ -107,15 +108,15 @@
                 del self.log.results[handle]
 
     async def restart(self, one, down_s):
-        """Ends a target; it starts again under its id and address, before its
-        entry has run out."""
+        """Kills a target and restarts it under its id and address, before its
+        record expires."""
         self.end(one)
         await asyncio.sleep(down_s)
         self.targets.remove(one)
         await self.add(one.service, one.zone, one.address, one.id)
 
     async def crash(self, one, down_s):
-        """Ends a target; another takes its address and is returned."""
+        """Kills a target; returns its replacement at the same address."""
         self.end(one)
         await asyncio.sleep(3 * BEAT_S)
         self.targets.remove(one)
@@ -124,7 +125,7 @@
         return await self.add(one.service, one.zone, one.address)
 
     async def start_cold(self, one, down_s):
-        """Ends an engine; another takes its address, cold."""
+        """Kills an engine; a cold one replaces it at the same address."""
         other = await self.crash(one, down_s)
         other.begin_cold(self.warm_up)
         self.store.put(f"servers/{other.id}", other.entry())
@@ -139,14 +140,14 @@
             self.store.remove(f"op/evacuate/{zone}")
 
     def end_by_itself(self, one):
-        """Ends a target because of what it ran; it is back soon."""
+        """Crashes a target because of a request; a replacement follows."""
         one.mode = "gone"
         task = asyncio.create_task(self.crash(one, BACK_S))
         self._crashes.add(task)
         task.add_done_callback(self._crashes.discard)
 
     async def replace(self, one, leaving):
-        """Empties a target as planned, after another has come."""
+        """Adds a replacement for a target, then drains the target."""
         await self.add(one.service, one.zone)
         one.state = "draining"
         self.store.put(f"servers/{one.id}", one.entry())
