--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -5,11 +5,11 @@
 import random
 
 import wire
-from oracle import Sent
+from oracle import SentRequest
 
-BUDGET_S = 3.0
-LEAVING = 0.1  # The share of requests that are abandoned early.
-KINDS = {
+TIME_BUDGET_S = 3.0
+ABANDONED_SHARE = 0.1  # The share of requests that are abandoned early.
+REQUEST_KINDS = {
     "find": ("GET", "/find/x", {}),
     "book": ("POST", "/book/x", {}),
     "chat": ("POST", "/chat/x", {"X-Mangofold-Pieces": "2,1"}),
@@ -25,55 +25,55 @@
         self.oracle = oracle
         self.reader = self.writer = None
 
-    async def ask(self, one, method, path, fields, leave_after=None):
+    async def send(self, sent, method, path, fields, abandon_after_s=None):
         """Sends a request; a caller that gives up closes the connection."""
         try:
-            await asyncio.wait_for(self._ask(one, method, path, fields),
-                                   leave_after or BUDGET_S + 1)
+            await asyncio.wait_for(self._send(sent, method, path, fields),
+                                   abandon_after_s or TIME_BUDGET_S + 1)
         except asyncio.TimeoutError:
-            if leave_after:
-                one.left_at = self.oracle.now()
+            if abandon_after_s:
+                sent.disconnected_at = self.oracle.now()
             self.close()
-        except (wire.Closed, OSError):
+        except (wire.ConnectionClosed, OSError):
             self.close()
-        return one
+        return sent
 
-    async def _ask(self, one, method, path, fields):
+    async def _send(self, sent, method, path, extra_fields):
         if self.writer is None:
-            host, port = self.entry.callers.rsplit(":", 1)
+            host, port = self.entry.frontend.rsplit(":", 1)
             self.reader, self.writer = await asyncio.open_connection(
                 host, int(port), limit=1 << 20)
         lines = [f"{method} {path} HTTP/1.1", "Host: h.example",
-                 f"X-Mangofold-Request-Id: {one.request}",
-                 f"X-Mangofold-Time-Budget-Ms: {int(BUDGET_S * 1000)}",
-                 f"X-Mangofold-Piece-Key: key-{one.request}",
+                 f"X-Mangofold-Request-Id: {sent.request_id}",
+                 f"X-Mangofold-Time-Budget-Ms: {int(TIME_BUDGET_S * 1000)}",
+                 f"X-Mangofold-Piece-Key: key-{sent.request_id}",
                  "X-Mangofold-Prompt-Prefix: aa:100,bb:20",
                  "X-Mangofold-Token-Count: 120,40"]
-        lines += [f"{name}: {value}" for name, value in fields.items()]
+        lines += [f"{name}: {value}" for name, value in extra_fields.items()]
         if method == "POST":
             lines.append("Content-Length: 2")
         body = "hi" if method == "POST" else ""
         self.writer.write(("\r\n".join(lines) + "\r\n\r\n" + body).encode())
         await self.writer.drain()
-        await self._read(one)
+        await self._read_response(sent)
 
-    async def _read(self, one):
-        answer = await wire.read_head(self.reader)
-        one.status = int(answer.first.split()[1])
+    async def _read_response(self, sent):
+        response = await wire.read_head(self.reader)
+        sent.status = int(response.start_line.split()[1])
         try:
-            if "chunked" in answer.field("transfer-encoding"):
-                while part := await wire.read_chunk(self.reader):
-                    answer.body += part
+            if "chunked" in response.field("transfer-encoding"):
+                while chunk := await wire.read_chunk(self.reader):
+                    response.body += chunk
             else:
-                await wire.read_body(self.reader, answer)
-            one.is_whole = True
+                await wire.read_body(self.reader, response)
+            sent.is_complete = True
         finally:
-            one.body = answer.body
-        echoed = answer.field("x-mangofold-request-id")
-        if one.status == 200 and echoed != one.request:
+            sent.body = response.body
+        response_id = response.field("x-mangofold-request-id")
+        if sent.status == 200 and response_id != sent.request_id:
             self.oracle.faults.append(
-                f"{one.request}: got the response to {echoed}")
-        if answer.field("connection") == "close":
+                f"{sent.request_id}: got the response to {response_id}")
+        if response.field("connection") == "close":
             self.close()
 
     def close(self):
@@ -83,56 +83,57 @@
 
 
 class Caller:
-    _numbers = itertools.count(1)
+    _request_numbers = itertools.count(1)
 
-    def __init__(self, oracle, seed, leaving=LEAVING):
+    def __init__(self, oracle, seed, abandoned_share=ABANDONED_SHARE):
         self.oracle = oracle
-        self.leaving = leaving
+        self.abandoned_share = abandoned_share
         self.random = random.Random(seed)
 
-    def request(self, kind, entry, poison=""):
-        one = Sent(f"{next(self._numbers):08x}", kind, entry,
-                   self.oracle.now(), poison)
-        self.oracle.sent[one.request] = one
-        if kind in KINDS:
-            pieces = KINDS[kind][2].get("X-Mangofold-Pieces", "")
-            self.oracle.log.pieces[one.request] = [
+    def new_request(self, kind, entry, poison=""):
+        sent = SentRequest(f"{next(self._request_numbers):08x}", kind, entry,
+                           self.oracle.now(), poison)
+        self.oracle.requests[sent.request_id] = sent
+        if kind in REQUEST_KINDS:
+            pieces = REQUEST_KINDS[kind][2].get("X-Mangofold-Pieces", "")
+            self.oracle.log.pieces[sent.request_id] = [
                 int(count) for count in pieces.split(",") if count]
-        return one
+        return sent
 
-    async def run(self, until, pause_s):
+    async def run(self, until, mean_pause_s):
         """Sends one request after another, mostly on open connections."""
         connection = None
         while self.oracle.now() < until:
-            await asyncio.sleep(self.random.expovariate(1 / pause_s))
+            await asyncio.sleep(self.random.expovariate(1 / mean_pause_s))
             if connection is None or self.random.random() < 0.1:
                 if connection:
                     connection.close()
-                ready = [one for one in self.oracle.fleet
-                         if not one.is_stopping] or self.oracle.fleet
-                connection = Connection(self.random.choice(ready), self.oracle)
-            kind = self.random.choice(list(KINDS))
-            one = self.request(kind, connection.entry)
-            method, path, fields = KINDS[kind]
-            leave_after = self.random.uniform(0.005, 0.15) \
-                if self.random.random() < self.leaving else None
-            await connection.ask(one, method, path, {
-                **fields, "Authorization": "Bearer always"}, leave_after)
-            self.oracle.note(one)
+                candidates = [entry for entry in self.oracle.fleet
+                              if not entry.is_stopping] or self.oracle.fleet
+                connection = Connection(self.random.choice(candidates),
+                                        self.oracle)
+            kind = self.random.choice(list(REQUEST_KINDS))
+            sent = self.new_request(kind, connection.entry)
+            method, path, fields = REQUEST_KINDS[kind]
+            abandon_after_s = self.random.uniform(0.005, 0.15) \
+                if self.random.random() < self.abandoned_share else None
+            await connection.send(sent, method, path, {
+                **fields, "Authorization": "Bearer always"}, abandon_after_s)
+            self.oracle.check_outcome(sent)
             if connection.writer is None:
                 connection = None
 
-    async def ask_poison(self, kind, poison, entry):
+    async def send_poison(self, kind, poison, entry):
         """Sends a request that crashes each target that runs it."""
-        one = self.request(kind, entry, poison)
+        sent = self.new_request(kind, entry, poison)
         if "-stage-" in poison:
-            self.oracle.log.stage_poisons[one.request] = poison
-        method, path, fields = KINDS[kind]
+            self.oracle.log.stage_poisons[sent.request_id] = poison
+        method, path, fields = REQUEST_KINDS[kind]
         connection = Connection(entry, self.oracle)
-        await connection.ask(one, method, path.replace("/x", poison), {
+        await connection.send(sent, method, path.replace("/x", poison), {
             **fields, "Authorization": "Bearer always"})
         connection.close()
-        self.oracle.note(one)
+        self.oracle.check_outcome(sent)
 
     async def probe(self, until):
         """Probes entries in turn for the route and key versions in force."""
@@ -140,11 +141,11 @@
             for entry in self.oracle.fleet:
                 newest = max(self.oracle.published)
                 for version in (newest, newest - 1):
-                    one = self.request("probe", entry)
+                    sent = self.new_request("probe", entry)
                     connection = Connection(entry, self.oracle)
-                    await connection.ask(one, "GET", f"/v{version}/x", {
+                    await connection.send(sent, "GET", f"/v{version}/x", {
                         "Authorization": f"Bearer key-{version}"})
                     connection.close()
-                    one.ended_at = self.oracle.now()
-                    self.oracle.note_probe(one, version)
+                    sent.ended_at = self.oracle.now()
+                    self.oracle.check_probe(sent, version)
             await asyncio.sleep(0.2)
--- a/tests/soak/disorder.py
+++ b/tests/soak/disorder.py
@@ -5,30 +5,30 @@
 import random
 import signal
 
-from callers import Caller, KINDS
+from callers import Caller, REQUEST_KINDS
 
 
-MOST_POISONS = 2  # So that each still finds targets to crash.
+MAX_ACTIVE_POISONS = 2  # So that each still finds targets to crash.
 # Not drawn by default, so that existing seeds replay unchanged.
-ONLY_IF_NAMED = ("roll", "evacuate", "cold")
-GROW_PAUSE_S = 3  # So that a narrow link can carry all versions.
+OPT_IN_KINDS = ("roll", "evacuate", "cold")
+GROW_INTERVAL_S = 3  # So that a narrow link can carry all versions.
 
 
-class Disorder:
-    def __init__(self, seed, world, oracle, kinds=None):
+class DisturbanceInjector:
+    def __init__(self, seed, platform, oracle, kinds=None):
         self.random = random.Random(seed)
-        self.world = world
+        self.platform = platform
         self.oracle = oracle
-        self.story = []
-        self.began = oracle.now()
+        self.history = []
+        self.started_at = oracle.now()
         self.tasks = set()
-        self.grown_at = 0.0
-        self.poisons = itertools.count(1)
-        self.poisoning = 0
+        self.last_grow_at = 0.0
+        self.poison_numbers = itertools.count(1)
+        self.active_poisons = 0
         names = [name for name in dir(self) if name.startswith("do_")]
         self.kinds = [name for name in names
                       if name[3:] in (kinds or ()) or
-                      not kinds and name[3:] not in ONLY_IF_NAMED]
+                      not kinds and name[3:] not in OPT_IN_KINDS]
 
     async def run(self, until):
         if not self.kinds:
@@ -36,261 +36,267 @@
         while self.oracle.now() < until and self.kinds:
             await asyncio.sleep(self.random.expovariate(1 / 0.6))
             kind = self.random.choice(self.kinds)
-            again = self.random.choice((1, 1, 1, 2, 3))
-            for _ in range(again):
+            repeat_count = self.random.choice((1, 1, 1, 2, 3))
+            for _ in range(repeat_count):
                 self.tasks.add(asyncio.create_task(getattr(self, kind)()))
                 await asyncio.sleep(self.random.uniform(0, 0.4))
         await asyncio.gather(*self.tasks)
 
-    def tell(self, text):
-        self.story.append(f"{self.oracle.now() - self.began:7.2f} {text}")
+    def log(self, text):
+        self.history.append(
+            f"{self.oracle.now() - self.started_at:7.2f} {text}")
 
-    def entry(self):
+    def pick_entry(self):
         """Returns an undisturbed entry, or None if it is the last one."""
-        free = [one for one in self.oracle.fleet if one.is_running()
-                and not one.is_disturbed and not one.is_stopping]
+        free = [entry for entry in self.oracle.fleet if entry.is_running()
+                and not entry.disturbance_count and not entry.is_stopping]
         if len(free) < 2:  # One always remains to serve requests.
             return None
         return self.random.choice(free)
 
-    def target(self):
+    def pick_target(self):
         """Returns an undisturbed target whose service has another one."""
-        free = [one for one in self.world.targets
-                if one.mode == "ok" and one.state == "ready"
-                and self.world.proxies[one.address].mode == "open"]
-        sound = [one for one in free
-                 if sum(other.service == one.service for other in free) > 1]
-        return self.random.choice(sound) if sound else None
+        free = [target for target in self.platform.targets
+                if target.mode == "ok" and target.state == "ready"
+                and self.platform.proxies[target.address].mode == "open"]
+        replaceable = [
+            target for target in free
+            if sum(other.service == target.service for other in free) > 1]
+        return self.random.choice(replaceable) if replaceable else None
 
-    def span(self, most=2.5):
-        return self.random.uniform(0.2, most)
+    def random_duration(self, max_s=2.5):
+        return self.random.uniform(0.2, max_s)
 
     async def do_kill(self):
-        if one := self.entry():
-            self.tell(f"kill {one.name}")
-            await one.kill(self.span(1))
+        if entry := self.pick_entry():
+            self.log(f"kill {entry.name}")
+            await entry.kill(self.random_duration(1))
 
     async def do_pause(self):
-        if one := self.entry():
-            self.tell(f"pause {one.name}")
-            await one.pause(self.span(4))
+        if entry := self.pick_entry():
+            self.log(f"pause {entry.name}")
+            await entry.pause(self.random_duration(4))
 
     async def do_stop(self):
-        if one := self.entry():
-            self.tell(f"stop {one.name}")
-            await one.stop_in_order(self.oracle.faults)
+        if entry := self.pick_entry():
+            self.log(f"stop {entry.name}")
+            await entry.stop_gracefully(self.oracle.faults)
 
     async def do_roll(self):
         """Stops all entries one after another, at short intervals."""
         fleet = list(self.oracle.fleet)
-        if any(one.is_stopping or one.is_disturbed for one in fleet):
+        if any(entry.is_stopping or entry.disturbance_count
+               for entry in fleet):
             return
         self.random.shuffle(fleet)
         gap = self.random.choice((0, 0.4, 0.8, 1.5, 2.5))
-        self.tell(f"stop all, {gap} s apart")
+        self.log(f"stop all, {gap} s apart")
         stops = []
-        for one in fleet:
-            one.is_stopping = True  # No other disturbance picks it.
+        for entry in fleet:
+            entry.is_stopping = True  # No other disturbance picks it.
             stops.append(asyncio.create_task(
-                one.stop_in_order(self.oracle.faults)))
+                entry.stop_gracefully(self.oracle.faults)))
             await asyncio.sleep(gap)
         await asyncio.gather(*stops)
 
     async def do_hangup(self):
-        if one := self.entry():
-            torn = self.random.random() < 0.3
-            self.tell(f"settings of {one.name} rewritten"
-                      f"{', truncated' if torn else ''}")
-            one.write_settings(torn)
+        if entry := self.pick_entry():
+            is_truncated = self.random.random() < 0.3
+            self.log(f"settings of {entry.name} rewritten"
+                     f"{', truncated' if is_truncated else ''}")
+            entry.write_settings(is_truncated)
             if self.random.random() < 0.6:
-                one.send(signal.SIGHUP)
-            await asyncio.sleep(self.span(2))
-            one.write_settings()
+                entry.send_signal(signal.SIGHUP)
+            await asyncio.sleep(self.random_duration(2))
+            entry.write_settings()
 
     async def do_peers(self):
         """Disturbs the connections from other entries to one entry."""
-        if one := self.entry():
+        if entry := self.pick_entry():
             mode = self.random.choice(("cut", "silent", "deaf", "slow"))
-            self.tell(f"connections of other entries to {one.name}: {mode}")
-            one.link.delay = 0.15 if mode == "slow" else 0
-            one.link.set_mode("open" if mode == "slow" else mode)
-            await asyncio.sleep(self.span(4))
-            one.link.delay = 0
-            one.link.set_mode("open")
-            one.link.reset()
+            self.log(f"connections of other entries to {entry.name}: {mode}")
+            entry.peer_proxy.delay = 0.15 if mode == "slow" else 0
+            entry.peer_proxy.set_mode("open" if mode == "slow" else mode)
+            await asyncio.sleep(self.random_duration(4))
+            entry.peer_proxy.delay = 0
+            entry.peer_proxy.set_mode("open")
+            entry.peer_proxy.reset()
 
     async def do_store_of_one(self):
-        if one := self.entry():
+        if entry := self.pick_entry():
             mode = self.random.choice(("cut", "silent", "deaf"))
-            self.tell(f"store connection of {one.name}: {mode}")
-            one.begin_disturbance()
-            one.store.set_mode(mode)
-            await asyncio.sleep(self.span(4))
-            one.store.set_mode("open")
-            one.store.reset()
-            one.end_disturbance()
+            self.log(f"store connection of {entry.name}: {mode}")
+            entry.begin_disturbance()
+            entry.store_proxy.set_mode(mode)
+            await asyncio.sleep(self.random_duration(4))
+            entry.store_proxy.set_mode("open")
+            entry.store_proxy.reset()
+            entry.end_disturbance()
 
     async def do_store(self):
         if self.oracle.store_calm_since > self.oracle.now():
             return
-        how = self.random.choice(("down", "slow", "forget"))
-        self.tell(f"store {how}")
+        mode = self.random.choice(("down", "slow", "forget"))
+        self.log(f"store {mode}")
         self.oracle.store_calm_since = float("inf")
-        if how == "forget":
-            self.world.store.is_blind = True
-            self.world.publish(self.oracle.published)
-        self.world.store.is_down = how == "down"
-        for one in self.oracle.fleet:
-            one.store.delay = 0.2 if how == "slow" else 0
-        await asyncio.sleep(self.span())
-        self.world.store.is_down = False
-        if how == "forget":
-            self.world.store.forget()
-        for one in self.oracle.fleet:
-            one.store.delay = 0
+        if mode == "forget":
+            self.platform.store.is_muted = True
+            self.platform.publish(self.oracle.published)
+        self.platform.store.is_down = mode == "down"
+        for entry in self.oracle.fleet:
+            entry.store_proxy.delay = 0.2 if mode == "slow" else 0
+        await asyncio.sleep(self.random_duration())
+        self.platform.store.is_down = False
+        if mode == "forget":
+            self.platform.store.drop_history()
+        for entry in self.oracle.fleet:
+            entry.store_proxy.delay = 0
         self.oracle.store_calm_since = self.oracle.now()
 
-    async def _harm_target(self, change, undo):
-        one = self.target()
-        if one is None:
+    async def _disturb_target(self, disturb, undo):
+        target = self.pick_target()
+        if target is None:
             return
         self.oracle.targets_calm_since = float("inf")
-        change(one)
-        await asyncio.sleep(self.span())
-        undo(one)
-        others = [other for other in self.world.targets
-                  if other is not one and other.mode != "ok"]
-        if not others:
+        disturb(target)
+        await asyncio.sleep(self.random_duration())
+        undo(target)
+        other_disturbed = [other for other in self.platform.targets
+                           if other is not target and other.mode != "ok"]
+        if not other_disturbed:
             self.oracle.targets_calm_since = self.oracle.now()
 
     async def do_target_mode(self):
         mode = self.random.choice(("lost", "cut", "slow", "shed", "extra"))
 
-        def change(one):
-            self.tell(f"{one.service} {one.id}: mode {mode}")
-            one.mode = mode
-        await self._harm_target(change,
-                                lambda one: setattr(one, "mode", "ok"))
+        def disturb(target):
+            self.log(f"{target.service} {target.id}: mode {mode}")
+            target.mode = mode
+        await self._disturb_target(
+            disturb, lambda target: setattr(target, "mode", "ok"))
 
     async def do_target_link(self):
         mode = self.random.choice(("cut", "silent", "deaf"))
-        proxies = self.world.proxies
+        proxies = self.platform.proxies
 
-        def change(one):
-            self.tell(f"connections to {one.service} {one.id}: {mode}")
-            proxies[one.address].set_mode(mode)
+        def disturb(target):
+            self.log(f"connections to {target.service} {target.id}: {mode}")
+            proxies[target.address].set_mode(mode)
 
-        def undo(one):
-            proxies[one.address].set_mode("open")
-            proxies[one.address].reset()
-        await self._harm_target(change, undo)
+        def undo(target):
+            proxies[target.address].set_mode("open")
+            proxies[target.address].reset()
+        await self._disturb_target(disturb, undo)
 
     async def do_target_crash(self):
-        if one := self.target():
-            self.tell(f"crash {one.service} {one.id}")
-            one.mode = "gone"
+        if target := self.pick_target():
+            self.log(f"crash {target.service} {target.id}")
+            target.mode = "gone"
             self.oracle.targets_calm_since = float("inf")
-            await self.world.crash(one, self.span(1))
+            await self.platform.crash(target, self.random_duration(1))
             self.oracle.targets_calm_since = self.oracle.now()
 
     async def do_poison(self):
-        """Sends all entries a request that crashes each target, for a while."""
-        if self.poisoning == MOST_POISONS:
+        """Sends all entries a request that crashes targets, for a while."""
+        if self.active_poisons == MAX_ACTIVE_POISONS:
             return
-        self.poisoning += 1
-        kind = self.random.choice(list(KINDS))
+        self.active_poisons += 1
+        kind = self.random.choice(list(REQUEST_KINDS))
         at_stage = kind in ("chat", "note") and self.random.random() < 0.4
-        poison = f"/poison{'-stage' if at_stage else ''}-{next(self.poisons)}"
-        self.tell(f"{kind}{poison}")
+        poison = f"/poison{'-stage' if at_stage else ''}-" \
+                 f"{next(self.poison_numbers)}"
+        self.log(f"{kind}{poison}")
         self.oracle.targets_calm_since = float("inf")
         caller = Caller(self.oracle, poison)
         until = self.oracle.now() + self.random.uniform(4, 12)
-        asked = []
+        requests = []
         while self.oracle.now() < until:
             entry = self.random.choice(self.oracle.fleet)
-            asked.append(asyncio.create_task(
-                caller.ask_poison(kind, poison, entry)))
+            requests.append(asyncio.create_task(
+                caller.send_poison(kind, poison, entry)))
             await asyncio.sleep(self.random.uniform(0.02, 0.5))
-        await asyncio.gather(*asked)
-        self.poisoning -= 1
+        await asyncio.gather(*requests)
+        self.active_poisons -= 1
         self.oracle.targets_calm_since = self.oracle.now()
 
     async def do_target_restart(self):
-        if one := self.target():
-            self.tell(f"restart {one.service} {one.id}")
-            one.mode = "gone"
+        if target := self.pick_target():
+            self.log(f"restart {target.service} {target.id}")
+            target.mode = "gone"
             self.oracle.targets_calm_since = float("inf")
-            await self.world.restart(one, self.span(1))
+            await self.platform.restart(target, self.random_duration(1))
             self.oracle.targets_calm_since = self.oracle.now()
 
     async def do_foreign_entry(self):
         """Writes an invalid record, for a while also over a valid one."""
-        store = self.world.store
-        entry = self.world.targets[0].entry()
-        bad = self.random.choice((
-            b"\xff\x00{", b"[]", b"{}", {**entry, "address": "nowhere"},
-            {**entry, "state": "sleeping"}, {**entry, "capacity": "many"},
-            {**entry, "backend": "nothing"}, {**entry, "zone": None}))
-        store.put(f"servers/x-{self.random.randrange(9)}", bad)
-        self.tell(f"invalid record of another writer: {bad}")
-        one = self.target()
-        if one is None:
+        store = self.platform.store
+        record = self.platform.targets[0].record()
+        invalid = self.random.choice((
+            b"\xff\x00{", b"[]", b"{}", {**record, "address": "nowhere"},
+            {**record, "state": "sleeping"}, {**record, "capacity": "many"},
+            {**record, "backend": "nothing"}, {**record, "zone": None}))
+        store.put(f"servers/x-{self.random.randrange(9)}", invalid)
+        self.log(f"invalid record of another writer: {invalid}")
+        target = self.pick_target()
+        if target is None:
             return
-        self.tell(f"record of {one.service} {one.id} becomes invalid")
-        one.mode = "written over"
-        store.put(f"servers/{one.id}", bad)
-        began = self.oracle.now()
-        await asyncio.sleep(self.span(4))
-        self.oracle.unlisted.append((one.id, began, self.oracle.now()))
-        store.put(f"servers/{one.id}", one.entry())
-        one.mode = "ok"
+        self.log(f"record of {target.service} {target.id} becomes invalid")
+        target.mode = "written over"
+        store.put(f"servers/{target.id}", invalid)
+        invalid_from = self.oracle.now()
+        await asyncio.sleep(self.random_duration(4))
+        self.oracle.invalid_records.append(
+            (target.id, invalid_from, self.oracle.now()))
+        store.put(f"servers/{target.id}", target.record())
+        target.mode = "ok"
 
     async def do_evacuate(self):
         """Evacuates a zone for a while."""
         zone = self.random.choice("ab")
-        if any(one.zone == zone and not one.ended
-               for one in self.oracle.evacuations):
+        if any(evacuation.zone == zone and not evacuation.ended_at
+               for evacuation in self.oracle.evacuations):
             return
-        self.tell(f"evacuate zone {zone}")
-        self.world.set_evacuated(zone, True)
-        one = self.oracle.note_evacuated(zone)
-        await asyncio.sleep(self.span(4))
-        one.ended = self.oracle.now()
-        self.world.set_evacuated(zone, False)
-        self.tell(f"end evacuation of zone {zone}")
+        self.log(f"evacuate zone {zone}")
+        self.platform.set_evacuated(zone, True)
+        evacuation = self.oracle.add_evacuation(zone)
+        await asyncio.sleep(self.random_duration(4))
+        evacuation.ended_at = self.oracle.now()
+        self.platform.set_evacuated(zone, False)
+        self.log(f"end evacuation of zone {zone}")
 
     async def do_cold(self):
         """Crashes an engine; a cold one replaces it."""
-        engines = [one for one in self.world.targets
-                   if one.service == "models" and one.mode == "ok"
-                   and one.state == "ready"]
+        engines = [target for target in self.platform.targets
+                   if target.service == "models" and target.mode == "ok"
+                   and target.state == "ready"]
         if len(engines) < 2:
             return
-        one = self.random.choice(engines)
-        self.tell(f"replace {one.id} by a cold engine")
-        one.mode = "gone"
+        target = self.random.choice(engines)
+        self.log(f"replace {target.id} by a cold engine")
+        target.mode = "gone"
         self.oracle.targets_calm_since = float("inf")
-        await self.world.start_cold(one, self.span(1))
+        await self.platform.replace_by_cold(target, self.random_duration(1))
         self.oracle.targets_calm_since = self.oracle.now()
 
     async def do_replace(self):
-        if one := self.target():
-            self.tell(f"replace {one.service} {one.id}")
-            await self.world.replace(one, self.oracle.leaving)
+        if target := self.pick_target():
+            self.log(f"replace {target.service} {target.id}")
+            await self.platform.replace(target, self.oracle.draining)
 
     async def do_publish(self):
-        self.world.publish(self.oracle.published)
-        self.tell(f"publish version {self.world.version}")
+        self.platform.publish(self.oracle.published)
+        self.log(f"publish version {self.platform.version}")
         await asyncio.sleep(0)
 
     async def do_grow(self):
         """Publishes two larger configurations in quick succession."""
-        if self.oracle.now() < self.grown_at + GROW_PAUSE_S:
+        if self.oracle.now() < self.last_grow_at + GROW_INTERVAL_S:
             return
-        self.grown_at = self.oracle.now()
-        self.world.more_routes = min(1500, self.world.more_routes + 500)
+        self.last_grow_at = self.oracle.now()
+        self.platform.extra_routes = min(1500,
+                                         self.platform.extra_routes + 500)
         for _ in range(2):
-            self.world.publish(self.oracle.published)
-            self.tell(f"publish version {self.world.version}, "
-                      f"{self.world.more_routes} extra routes")
+            self.platform.publish(self.oracle.published)
+            self.log(f"publish version {self.platform.version}, "
+                     f"{self.platform.extra_routes} extra routes")
             await asyncio.sleep(0.3)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -10,48 +10,51 @@
 GRACE_S = 4
 DRAIN_S = 1.0  # By then, a draining target gets no new requests.
 CONFIG_S = 1.0  # By then, a published configuration is in force.
-TOUCH_S = 2.0  # After a disturbance, until the bounds hold again.
+RECOVERY_S = 2.0  # After a disturbance, until the bounds hold again.
 
 
 class Entry:
     """One entry process, restarted whenever it has exited."""
 
-    def __init__(self, program, number, base, store, folder, seeds,
+    def __init__(self, program, number, base, store_address, folder, seeds,
                  downlinks, bytes_per_s=0):
         self.program = program
         self.name = f"entry-{number}"
         self.zone = "ab"[number % 2]
         port = base + 10 * number
-        self.callers, self.readiness, self.peers, at_store = (
-            f"127.0.0.1:{port + one}" for one in range(4))
+        self.frontend, self.readiness, self.control_plane, at_store = (
+            f"127.0.0.1:{port + offset}" for offset in range(4))
         # Other entries reach this entry through peer_proxy, unless is_direct.
         self.is_direct = False
         self.downlink = Link(bytes_per_s)
-        self.link = Proxy(f"127.0.0.1:{port + 4}", self.peers,
-                          there=self.downlink, callers=downlinks)
-        downlinks[self.link.address] = self.downlink
-        self.store = Proxy(at_store, store, back=self.downlink)
+        self.peer_proxy = Proxy(f"127.0.0.1:{port + 4}", self.control_plane,
+                                target_link=self.downlink,
+                                client_links=downlinks)
+        downlinks[self.peer_proxy.address] = self.downlink
+        self.store_proxy = Proxy(at_store, store_address,
+                                 default_client_link=self.downlink)
         self.path = os.path.join(folder, self.name + ".toml")
         self.log_path = os.path.join(folder, self.name + ".log")
         self.seeds = seeds
         self.process = None
         self.incarnation = 0
-        self.disturbed_at = 0.0  # When the last unplanned one ended.
-        self.is_disturbed = 0
+        self.last_disturbance_end = 0.0  # When the last unplanned one ended.
+        self.disturbance_count = 0
         self.is_stopping = False
-        self.ends = []  # Exit codes.
+        self.unexpected_exits = []  # Exit codes.
 
-    def write_settings(self, torn=False):
+    def write_settings(self, is_truncated=False):
         text = f"""node_name = "{self.name}"
 zone = "{self.zone}"
 region = "r"
-seeds = [{", ".join(f'"{one}"' for one in self.seeds)}]
+seeds = [{", ".join(f'"{seed}"' for seed in self.seeds)}]
 heartbeat_ms = 400
-announced_peers = "{self.peers if self.is_direct else self.link.address}"
+announced_peers = "{self.control_plane if self.is_direct
+                     else self.peer_proxy.address}"
 [bind]
-frontend = "{self.callers}"
+frontend = "{self.frontend}"
 readiness = "{self.readiness}"
-control_plane = "{self.peers}"
+control_plane = "{self.control_plane}"
 [limits]
 cpu_share = 0.5
 cpu_cores = 1
@@ -65,15 +68,15 @@
 budget_window_s = 10
 budget_slack = 100
 [platform]
-address = "{self.store.address}"
+address = "{self.store_proxy.address}"
 """
         with open(self.path, "w", encoding="utf-8") as file:
-            file.write(text[:len(text) // 2] if torn else text)
+            file.write(text[:len(text) // 2] if is_truncated else text)
 
     async def open(self):
         """Starts the process and the proxies for its store and its peers."""
-        await self.store.start()
-        await self.link.start()
+        await self.store_proxy.start()
+        await self.peer_proxy.start()
         self.start()
 
     def start(self):
@@ -89,23 +92,24 @@
     def is_running(self):
         return self.process is not None and self.process.poll() is None
 
-    def send(self, number):
+    def send_signal(self, signal_number):
         if self.is_running():
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     def begin_disturbance(self):
-        self.is_disturbed += 1
+        self.disturbance_count += 1
 
     def end_disturbance(self):
-        self.is_disturbed -= 1
-        self.disturbed_at = asyncio.get_running_loop().time()
+        self.disturbance_count -= 1
+        self.last_disturbance_end = asyncio.get_running_loop().time()
 
     def is_calm(self, since):
         """Whether no unplanned disturbance has affected it after `since`."""
-        return self.is_disturbed == 0 and self.disturbed_at < since
+        return self.disturbance_count == 0 and \
+            self.last_disturbance_end < since
 
-    async def wait_end(self, most):
-        for _ in range(int(most / 0.05)):
+    async def wait_exit(self, timeout_s):
+        for _ in range(int(timeout_s / 0.05)):
             if not self.is_running():
                 return True
             await asyncio.sleep(0.05)
@@ -113,44 +117,44 @@
 
     async def kill(self, down_s):
         self.begin_disturbance()
-        self.send(signal.SIGKILL)
-        await self.wait_end(2)
-        self.store.reset()
+        self.send_signal(signal.SIGKILL)
+        await self.wait_exit(2)
+        self.store_proxy.reset()
         await asyncio.sleep(down_s)
         self.start()
         await asyncio.sleep(1.5)  # A new process reads the whole state first.
         self.end_disturbance()
 
-    async def pause(self, for_s):
+    async def pause(self, duration_s):
         self.begin_disturbance()
-        self.send(signal.SIGSTOP)
-        await asyncio.sleep(for_s)
-        self.send(signal.SIGCONT)
+        self.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(duration_s)
+        self.send_signal(signal.SIGCONT)
         self.end_disturbance()
 
-    async def stop_in_order(self, faults):
+    async def stop_gracefully(self, faults):
         """Stops and restarts it; it must exit within its grace period."""
         self.is_stopping = True
-        self.send(signal.SIGTERM)
-        if not await self.wait_end(GRACE_S + 1):
+        self.send_signal(signal.SIGTERM)
+        if not await self.wait_exit(GRACE_S + 1):
             faults.append(f"{self.name}: still running after its grace period")
-            self.send(signal.SIGKILL)
-            await self.wait_end(2)
+            self.send_signal(signal.SIGKILL)
+            await self.wait_exit(2)
         self.begin_disturbance()
         self.start()
         await asyncio.sleep(1.5)
         self.end_disturbance()
 
-    async def watch(self):
+    async def restart_on_exit(self):
         """Records unexpected exits and restarts the process."""
         while True:
             await asyncio.sleep(0.1)
-            if self.is_running() or self.is_disturbed or self.is_stopping:
+            if self.is_running() or self.disturbance_count or self.is_stopping:
                 continue
-            self.ends.append(self.process.returncode)
+            self.unexpected_exits.append(self.process.returncode)
             self.start()
 
-    def end(self):
+    def terminate(self):
         if self.is_running():
             self.process.kill()
             self.process.wait()
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -56,7 +56,8 @@
      "fields.erase(http::field::authorization);", "", ["publish"]),
     ("SIGHUP has no handler", "packages/serving/settings_reloader.cpp",
      "m_hangup(context.loop, SIGHUP)", "m_hangup(context.loop)", ["hangup"]),
-    ("a stage gets only one of its inputs", "packages/serving/stage_runner.cpp",
+    ("a stage gets only one of its inputs",
+     "packages/serving/stage_runner.cpp",
      "        const auto& handles = m_states.at(input).handles;\n"
      "        inputs.insert(inputs.end(), handles.begin(), handles.end());",
      "        inputs.push_back(m_states.at(input).handles.front());",
@@ -99,37 +100,38 @@
 
 
 def build(folder):
-    done = run(["cmake", "--build", "build"], folder)
-    if done.returncode:
-        sys.exit(f"the build failed:\n{done.stdout[-2000:]}")
+    result = run(["cmake", "--build", "build"], folder)
+    if result.returncode:
+        sys.exit(f"the build failed:\n{result.stdout[-2000:]}")
 
 
 def copy_tree(folder):
     if not os.path.exists(folder):
         os.makedirs(folder)
-    listed = run(["git", "ls-files", "CMakeLists.txt", "packages", "platform",
-                  "tests/soak"], ".").stdout.split()
-    for path in listed:
-        there = os.path.join(folder, path)
-        os.makedirs(os.path.dirname(there), exist_ok=True)
-        shutil.copyfile(path, there)
+    tracked = run(["git", "ls-files", "CMakeLists.txt", "packages", "platform",
+                   "tests/soak"], ".").stdout.split()
+    for path in tracked:
+        path_in_copy = os.path.join(folder, path)
+        os.makedirs(os.path.dirname(path_in_copy), exist_ok=True)
+        shutil.copyfile(path, path_in_copy)
     run(["cmake", "-S", ".", "-B", "build", "-G", "Ninja",
          "-DMANGOFOLD_PLATFORM_ONLY=ON"], folder)
 
 
-def find(folder, kinds, options, more=()):
+def find_fault(folder, kinds, options, extra_arguments=()):
     """Returns the first seed that shows a fault, and the fault."""
     for seed in range(1, options.seeds + 1):
-        done = run([sys.executable, "tests/soak/soak.py",
-                    "build/bin/mangofold-platform-entry", "--seed", str(seed),
-                    "--seconds", str(options.seconds),
-                    "--base", str(options.base), *more, "--only", *kinds],
-                   folder)
-        fault = re.search("^FAULT (.*)", done.stdout, re.MULTILINE)
+        result = run([sys.executable, "tests/soak/soak.py",
+                      "build/bin/mangofold-platform-entry",
+                      "--seed", str(seed),
+                      "--seconds", str(options.seconds),
+                      "--base", str(options.base), *extra_arguments,
+                      "--only", *kinds], folder)
+        fault = re.search("^FAULT (.*)", result.stdout, re.MULTILINE)
         if fault:
             return seed, fault[1]
-        if done.returncode:
-            sys.exit(f"the soak failed:\n{done.stderr[-2000:]}")
+        if result.returncode:
+            sys.exit(f"the soak failed:\n{result.stderr[-2000:]}")
     return None, ""
 
 
@@ -143,29 +145,30 @@
                         help="only mutants whose names contain this text")
     options = parser.parse_args()
     copy_tree(options.folder)
-    missed = 0
-    for name, path, before, after, kinds, *more in MUTANTS:
+    missed_count = 0
+    for name, path, original, replacement, kinds, *extra_arguments in MUTANTS:
         if options.only and options.only not in name:
             continue
-        there = os.path.join(options.folder, path)
-        with open(there, encoding="utf-8") as file:
+        path_in_copy = os.path.join(options.folder, path)
+        with open(path_in_copy, encoding="utf-8") as file:
             text = file.read()
-        if before not in text:
-            sys.exit(f"{name}: {path} does not contain {before!r}")
-        with open(there, "w", encoding="utf-8") as file:
-            file.write(text.replace(before, after))
+        if original not in text:
+            sys.exit(f"{name}: {path} does not contain {original!r}")
+        with open(path_in_copy, "w", encoding="utf-8") as file:
+            file.write(text.replace(original, replacement))
         build(options.folder)
-        seed, fault = find(options.folder, kinds, options, *more)
-        with open(there, "w", encoding="utf-8") as file:
+        seed, fault = find_fault(options.folder, kinds, options,
+                                 *extra_arguments)
+        with open(path_in_copy, "w", encoding="utf-8") as file:
             file.write(text)
-        missed += seed is None
+        missed_count += seed is None
         print(f"{name}: " + (f"seed {seed}: {fault}" if seed else
                              "NOT FOUND"), flush=True)
     build(options.folder)
-    seed, fault = find(options.folder, ["target_mode", "stop", "replace"],
-                       options)
+    seed, fault = find_fault(options.folder,
+                             ["target_mode", "stop", "replace"], options)
     print(f"unchanged program: {f'seed {seed}: {fault}' if seed else 'clean'}")
-    sys.exit(1 if missed or seed else 0)
+    sys.exit(1 if missed_count or seed else 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -2,60 +2,60 @@
 
 import asyncio
 
-from fleet import CONFIG_S, DRAIN_S, TOUCH_S
-from targets import EVENTS
+from fleet import CONFIG_S, DRAIN_S, RECOVERY_S
+from targets import EVENT_COUNT
 
-NOT_RUN = (408, 421, 429, 503)
-LEFT_S = 0.5  # By then, work for a disconnected caller has been cancelled.
-ENDS_KNOWN = 3  # Targets that a request may crash until it is quarantined.
-MORE_SENDS = 3  # Times that it may be sent after that.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+CANCEL_S = 0.5  # By then, work for a disconnected caller has been cancelled.
+MAX_POISON_CRASHES = 3  # Targets that a request may crash, then quarantine.
+MAX_LATE_SENDS = 3  # Times that it may be sent after that.
 SLACK_S = 0.5  # Added to each bound, for a busy machine.
 STALL_S = 0.25  # Half of SLACK_S: the slack may not cover a longer stall.
 
 
-class Sent:
+class SentRequest:
     """A request that a caller sent, and its outcome."""
 
-    def __init__(self, request, kind, entry, at, poison=""):
-        self.request = request
+    def __init__(self, request_id, kind, entry, sent_at, poison=""):
+        self.request_id = request_id
         self.poison = poison  # Path that crashes each target that runs it.
         self.kind = kind
         self.entry = entry
         self.incarnation = entry.incarnation
-        self.at = at
+        self.sent_at = sent_at
         self.status = 0  # 0: no complete response head.
-        self.is_whole = False
+        self.is_complete = False
         self.body = b""
         self.ended_at = 0.0
-        self.left_at = None  # When its caller disconnected.
+        self.disconnected_at = None  # When its caller disconnected.
 
 
 class Evacuation:
     """An evacuation of a zone, from its acknowledgement on."""
 
-    def __init__(self, zone, began):
+    def __init__(self, zone, started_at):
         self.zone = zone
-        self.began = began
-        self.ended = None
+        self.started_at = started_at
+        self.ended_at = None
 
-    def covers(self, at, target):
+    def forbids(self, at, target):
         """Whether the target must get no work at that time."""
         return target.zone == self.zone and \
-            at > self.began + CONFIG_S + SLACK_S and \
-            (self.ended is None or at < self.ended)
+            at > self.started_at + CONFIG_S + SLACK_S and \
+            (self.ended_at is None or at < self.ended_at)
 
 
 class Oracle:
     def __init__(self, log, fleet):
         self.log = log
         self.fleet = fleet
-        self.sent = {}
+        self.requests = {}
         self.faults = log.faults
         self.published = {}  # Version -> time of its acknowledgement
-        self.leaving = {}  # Target id -> start of its draining
+        self.draining = {}  # Target id -> start of its draining
         self.evacuations = []
-        self.unlisted = []  # (target id, from, to): its record was invalid.
-        self.shown = {}  # (entry, incarnation) -> (version, time)
+        self.invalid_records = []  # (target id, from, to)
+        self.served_versions = {}  # (entry, incarnation) -> (version, time)
         self.store_calm_since = 0.0
         self.targets_calm_since = 0.0
         self.stalled_at = 0.0  # When the machine last stalled this process.
@@ -64,11 +64,11 @@
     def now(self):
         return asyncio.get_running_loop().time()
 
-    def note_evacuated(self, zone):
+    def add_evacuation(self, zone):
         self.evacuations.append(Evacuation(zone, self.now()))
         return self.evacuations[-1]
 
-    async def watch_machine(self):
+    async def detect_stalls(self):
         """Detects stalls of the machine, which stop the entries, too."""
         while True:
             before = self.now()
@@ -77,172 +77,185 @@
                 self.stalled_at = self.now()
 
     def is_calm(self, entry, since):
-        return entry.is_calm(since - TOUCH_S) and \
-            self.store_calm_since < since - TOUCH_S and \
+        return entry.is_calm(since - RECOVERY_S) and \
+            self.store_calm_since < since - RECOVERY_S and \
             self.stalled_at < since
 
-    def note(self, one):
+    def check_outcome(self, sent):
         """Checks the outcome of a request as its caller sees it."""
-        one.ended_at = self.now()
-        if one.left_at:
-            key = (one.kind, "left")
+        sent.ended_at = self.now()
+        if sent.disconnected_at:
+            key = (sent.kind, "left")
             self.counts[key] = self.counts.get(key, 0) + 1
             return
-        end = one.status if one.is_whole else f"{one.status} broken"
-        key = (one.kind, end)
+        outcome = sent.status if sent.is_complete else f"{sent.status} broken"
+        key = (sent.kind, outcome)
         self.counts[key] = self.counts.get(key, 0) + 1
-        if one.status in (400, 401, 403, 404) and one.kind != "probe":
-            self.faults.append(f"{one.request}: refused with {one.status}")
-        if b'"quarantined"' in one.body and not one.poison:
-            self.faults.append(f"{one.request}: a harmless {one.kind} was "
-                               "refused as quarantined")
-        if one.status == 200 and one.is_whole:
-            self._check_body(one)
-        if not one.is_whole:
-            self._check_lost(one)
-
-    def _check_body(self, one):
-        if one.kind in ("chat", "note"):
-            want = "".join(f"id: {number}\ndata: {one.request}.{number}\n\n"
-                           for number in range(1, EVENTS + 1)).encode()
+        if sent.status in (400, 401, 403, 404) and sent.kind != "probe":
+            self.faults.append(
+                f"{sent.request_id}: refused with {sent.status}")
+        if b'"quarantined"' in sent.body and not sent.poison:
+            self.faults.append(f"{sent.request_id}: a harmless {sent.kind} "
+                               "was refused as quarantined")
+        if sent.status == 200 and sent.is_complete:
+            self._check_body(sent)
+        if not sent.is_complete:
+            self._check_response_loss(sent)
+
+    def _check_body(self, sent):
+        if sent.kind in ("chat", "note"):
+            expected = "".join(
+                f"id: {number}\ndata: {sent.request_id}.{number}\n\n"
+                for number in range(1, EVENT_COUNT + 1)).encode()
         else:
-            want = f"answer {one.request} ".encode()
-        if one.kind in ("chat", "note") and one.body != want or \
-                not one.body.startswith(want):
-            self.faults.append(f"{one.request}: {one.kind} got {one.body!r}")
+            expected = f"answer {sent.request_id} ".encode()
+        if sent.kind in ("chat", "note") and sent.body != expected or \
+                not sent.body.startswith(expected):
+            self.faults.append(
+                f"{sent.request_id}: {sent.kind} got {sent.body!r}")
 
-    def _check_lost(self, one):
+    def _check_response_loss(self, sent):
         """Checks that no undisturbed request loses its response."""
-        if one.kind == "note" or one.status == 200:
+        if sent.kind == "note" or sent.status == 200:
             return  # The target may have broken off the response.
-        if not self.log.runs.get(one.request):
+        if not self.log.runs.get(sent.request_id):
             return  # The entry may have closed the connection unread.
-        if self.targets_calm_since < one.at - TOUCH_S and \
-                self.is_calm(one.entry, one.at) and \
-                one.incarnation == one.entry.incarnation:
-            self.faults.append(f"{one.request}: cut off by {one.entry.name}, "
-                               f"stopping {one.entry.is_stopping}")
+        if self.targets_calm_since < sent.sent_at - RECOVERY_S and \
+                self.is_calm(sent.entry, sent.sent_at) and \
+                sent.incarnation == sent.entry.incarnation:
+            self.faults.append(f"{sent.request_id}: cut off by "
+                               f"{sent.entry.name}, stopping "
+                               f"{sent.entry.is_stopping}")
 
-    def note_probe(self, one, version):
+    def check_probe(self, sent, version):
         """Checks which configuration version an entry has in force."""
-        key = (one.entry.name, one.incarnation)
-        newest, since = self.shown.get(key, (0, 0.0))
-        serves = one.status == 200 and one.is_whole
-        if serves and version < newest and one.at > since:
-            self.faults.append(f"{one.entry.name}: served version {version} "
-                               f"after {newest}")
-        if serves and version > newest:
-            self.shown[key] = (version, one.ended_at)
+        key = (sent.entry.name, sent.incarnation)
+        newest_served, served_at = self.served_versions.get(key, (0, 0.0))
+        serves = sent.status == 200 and sent.is_complete
+        if serves and version < newest_served and sent.sent_at > served_at:
+            self.faults.append(f"{sent.entry.name}: served version {version} "
+                               f"after {newest_served}")
+        if serves and version > newest_served:
+            self.served_versions[key] = (version, sent.ended_at)
         bound = CONFIG_S + SLACK_S
-        if not self.is_calm(one.entry, one.at - bound) or \
-                one.entry.is_stopping:
+        if not self.is_calm(sent.entry, sent.sent_at - bound) or \
+                sent.entry.is_stopping:
             return
-        if one.status in (401, 404) and version == max(self.published) and \
-                one.at > self.published[version] + bound:
-            self.faults.append(f"{one.entry.name}: version {version} not "
-                               "served "
-                               f"{one.at - self.published[version]:.1f} s "
-                               "after its publication")
-        later = self.published.get(version + 1)
-        if serves and later and one.at > later + bound:
-            self.faults.append(f"{one.entry.name}: version {version} still "
-                               f"served {one.at - later:.1f} s after the next "
-                               "version")
-
-    def conclude(self):
+        if sent.status in (401, 404) and version == max(self.published) and \
+                sent.sent_at > self.published[version] + bound:
+            self.faults.append(
+                f"{sent.entry.name}: version {version} not served "
+                f"{sent.sent_at - self.published[version]:.1f} s after its "
+                "publication")
+        superseded_at = self.published.get(version + 1)
+        if serves and superseded_at and sent.sent_at > superseded_at + bound:
+            self.faults.append(
+                f"{sent.entry.name}: version {version} still served "
+                f"{sent.sent_at - superseded_at:.1f} s after the next version")
+
+    def check_run(self):
         """Runs the checks that need the whole run."""
-        for one in self.sent.values():
-            runs = self.log.runs.get(one.request, [])
-            if one.kind in ("book", "note"):
+        for sent in self.requests.values():
+            runs = self.log.runs.get(sent.request_id, [])
+            if sent.kind in ("book", "note"):
                 if len(runs) > 1:
-                    self.faults.append(f"{one.request}: {one.kind} ran at "
-                                       f"{runs}")
-                if one.status in NOT_RUN and runs:
-                    self.faults.append(f"{one.request}: {one.status}, but it "
-                                       f"ran at {runs}")
-        for request in self.log.runs:
-            if request not in self.sent:
-                self.faults.append(f"{request}: ran, but no caller sent it")
-        for at, request, target in self.log.arrivals:
-            left = self.leaving.get(target.id)
-            one = self.sent.get(request)
-            if left and one and at > left + DRAIN_S + SLACK_S and \
-                    self.is_calm(one.entry, at - DRAIN_S):
-                self.faults.append(f"{request}: {one.entry.name} sent it to "
-                                   f"{target.id} {at - left:.1f} s after it "
-                                   "began to drain")
-        self._check_unlisted()
-        self._check_evacuated()
-        self._check_left()
-        for poison, ends in self.log.poison_ends.items():
-            self._check_poison(poison, ends)
-        self._check_work_for_nobody()
+                    self.faults.append(
+                        f"{sent.request_id}: {sent.kind} ran at {runs}")
+                if sent.status in NOT_EXECUTED_STATUSES and runs:
+                    self.faults.append(
+                        f"{sent.request_id}: {sent.status}, but it ran at "
+                        f"{runs}")
+        for request_id in self.log.runs:
+            if request_id not in self.requests:
+                self.faults.append(f"{request_id}: ran, but no caller sent it")
+        for at, request_id, target in self.log.arrivals:
+            draining_since = self.draining.get(target.id)
+            sent = self.requests.get(request_id)
+            if draining_since and sent and \
+                    at > draining_since + DRAIN_S + SLACK_S and \
+                    self.is_calm(sent.entry, at - DRAIN_S):
+                self.faults.append(
+                    f"{request_id}: {sent.entry.name} sent it to {target.id} "
+                    f"{at - draining_since:.1f} s after it began to drain")
+        self._check_invalid_records()
+        self._check_evacuations()
+        self._check_forwarding_after_disconnect()
+        for poison, crashes in self.log.poison_crashes.items():
+            self._check_poison(poison, crashes)
+        self._check_work_after_disconnect()
         for entry in self.fleet:
-            for code in entry.ends:
-                self.faults.append(f"{entry.name}: exited unexpectedly: {code}")
+            for exit_code in entry.unexpected_exits:
+                self.faults.append(
+                    f"{entry.name}: exited unexpectedly: {exit_code}")
 
-    def _check_unlisted(self):
+    def _check_invalid_records(self):
         """Checks that no work goes to a target whose record is invalid."""
-        for named, began, ended in self.unlisted:
-            for at, request, target in self.log.arrivals:
-                one = self.sent.get(request)
-                if one and target.id == named and \
-                        began + DRAIN_S + SLACK_S < at < ended and \
-                        self.is_calm(one.entry, at - DRAIN_S):
-                    self.faults.append(f"{request}: sent to {named} "
-                                       f"{at - began:.1f} s after its "
+        for target_id, invalid_from, invalid_to in self.invalid_records:
+            for at, request_id, target in self.log.arrivals:
+                sent = self.requests.get(request_id)
+                if sent and target.id == target_id and \
+                        invalid_from + DRAIN_S + SLACK_S < at < invalid_to \
+                        and self.is_calm(sent.entry, at - DRAIN_S):
+                    self.faults.append(f"{request_id}: sent to {target_id} "
+                                       f"{at - invalid_from:.1f} s after its "
                                        "record became invalid")
 
-    def _check_evacuated(self):
+    def _check_evacuations(self):
         """Checks that no entry sends work to an evacuated zone."""
-        for at, request, target in self.log.arrivals:
-            one = self.sent.get(request)
-            if one and self.is_calm(one.entry, at - CONFIG_S) and \
-                    any(zone.covers(at, target) for zone in self.evacuations):
-                self.faults.append(f"{request}: {one.entry.name} sent it to "
-                                   f"{target.id} in zone {target.zone}, which "
-                                   "was evacuated")
-        for at, target in self.log.calls:
-            if all(one.is_calm(at - CONFIG_S - TOUCH_S)
-                   for one in self.fleet) and \
-                    self.store_calm_since < at - CONFIG_S - TOUCH_S and \
+        for at, request_id, target in self.log.arrivals:
+            sent = self.requests.get(request_id)
+            if sent and self.is_calm(sent.entry, at - CONFIG_S) and \
+                    any(evacuation.forbids(at, target)
+                        for evacuation in self.evacuations):
+                self.faults.append(
+                    f"{request_id}: {sent.entry.name} sent it to {target.id} "
+                    f"in zone {target.zone}, which was evacuated")
+        for at, target in self.log.piece_calls:
+            if all(entry.is_calm(at - CONFIG_S - RECOVERY_S)
+                   for entry in self.fleet) and \
+                    self.store_calm_since < at - CONFIG_S - RECOVERY_S and \
                     self.stalled_at < at - CONFIG_S and \
-                    any(zone.covers(at, target) for zone in self.evacuations):
+                    any(evacuation.forbids(at, target)
+                        for evacuation in self.evacuations):
                 self.faults.append(f"pieces sent to {target.id} in zone "
                                    f"{target.zone}, which was evacuated")
 
-    def _check_poison(self, poison, ends):
+    def _check_poison(self, poison, crashes):
         """Checks that requests that crash targets are quarantined."""
-        if len(ends) < ENDS_KNOWN:
+        if len(crashes) < MAX_POISON_CRASHES:
             return
-        known = ends[ENDS_KNOWN - 1] + TOUCH_S + SLACK_S
-        late = [at for at, request, _ in self.log.arrivals
-                if at > known and request in self.sent
-                and self.sent[request].poison == poison
-                and self.is_calm(self.sent[request].entry, at)]
+        quarantined_at = crashes[MAX_POISON_CRASHES - 1] + RECOVERY_S + SLACK_S
+        late_sends = [at for at, request_id, _ in self.log.arrivals
+                      if at > quarantined_at and request_id in self.requests
+                      and self.requests[request_id].poison == poison
+                      and self.is_calm(self.requests[request_id].entry, at)]
         if "-stage-" in poison:  # Calls of pieces carry no request id.
-            late = [at for at in ends if at > known]
-        if len(late) > MORE_SENDS:
-            self.faults.append(f"{poison}: sent {len(late)} more times after "
-                               f"it had crashed {ENDS_KNOWN} targets, "
-                               f"{len(ends)} in total")
-
-    def _check_left(self):
-        """Checks that no request is forwarded after its caller disconnected."""
-        for at, request, _ in self.log.arrivals:
-            one = self.sent.get(request)
-            if one and one.left_at and at > one.left_at + LEFT_S + STALL_S \
-                    and self.is_calm(one.entry, one.left_at):
-                self.faults.append(f"{request}: forwarded "
-                                   f"{at - one.left_at:.1f} s after its caller "
-                                   "disconnected")
-
-    def _check_work_for_nobody(self):
+            late_sends = [at for at in crashes if at > quarantined_at]
+        if len(late_sends) > MAX_LATE_SENDS:
+            self.faults.append(
+                f"{poison}: sent {len(late_sends)} more times after it had "
+                f"crashed {MAX_POISON_CRASHES} targets, {len(crashes)} in "
+                "total")
+
+    def _check_forwarding_after_disconnect(self):
+        """Checks that no request is forwarded for a disconnected caller."""
+        for at, request_id, _ in self.log.arrivals:
+            sent = self.requests.get(request_id)
+            if sent and sent.disconnected_at and \
+                    at > sent.disconnected_at + CANCEL_S + STALL_S \
+                    and self.is_calm(sent.entry, sent.disconnected_at):
+                self.faults.append(
+                    f"{request_id}: forwarded {at - sent.disconnected_at:.1f} "
+                    "s after its caller disconnected")
+
+    def _check_work_after_disconnect(self):
         """Checks that no target works for a disconnected caller."""
-        for at, request in self.log.ends:
-            one = self.sent.get(request)
-            if one and one.left_at and at > one.left_at + LEFT_S + STALL_S \
-                    and self.is_calm(one.entry, one.left_at):
-                self.faults.append(f"{request}: still running "
-                                   f"{at - one.left_at:.1f} s after its caller "
-                                   "disconnected")
+        for at, request_id in self.log.finished_work:
+            sent = self.requests.get(request_id)
+            if sent and sent.disconnected_at and \
+                    at > sent.disconnected_at + CANCEL_S + STALL_S \
+                    and self.is_calm(sent.entry, sent.disconnected_at):
+                self.faults.append(
+                    f"{request_id}: still running "
+                    f"{at - sent.disconnected_at:.1f} s after its caller "
+                    "disconnected")
--- a/tests/soak/platform_run.py
+++ b/tests/soak/platform_run.py
@@ -6,22 +6,23 @@
 
 from fleet import Entry
 from soak import wait_ready
-from world import World
+from world import PlatformStandin
 
 
 async def run(options, folder):
-    world = World(options.base)
-    await world.start(options.copies)
+    platform = PlatformStandin(options.base)
+    await platform.start(options.copies)
     seeds = [f"127.0.0.1:{options.base + 1004}"]
     fleet = [Entry(options.program, number, options.base + 1000,
-                   world.store_address, folder, seeds, {})
+                   platform.store_address, folder, seeds, {})
              for number in range(options.entries)]
     try:
         for entry in fleet:
             await entry.open()
         await wait_ready(fleet)
         print("Ctrl-C stops the entries. A streamed request with two stages:\n"
-              f"curl -N http://{fleet[0].callers}/chat/x -H 'Host: h.example' "
+              f"curl -N http://{fleet[0].frontend}/chat/x "
+              "-H 'Host: h.example' "
               "-H 'Authorization: Bearer always' "
               "-H 'X-Mangofold-Request-Id: a1' "
               "-H 'X-Mangofold-Pieces: 2,1' "
@@ -33,7 +34,7 @@
             await asyncio.Event().wait()
     finally:
         for entry in fleet:
-            entry.end()
+            entry.terminate()
 
 
 def main():
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -9,16 +9,17 @@
 
     def __init__(self, bytes_per_s=0):
         self.bytes_per_s = bytes_per_s  # 0: not limited.
-        self.free_at = 0.0
-        self.carried = 0
+        self.available_at = 0.0
+        self.sent_bytes = 0
 
-    async def carry(self, count):
-        self.carried += count
+    async def transmit(self, byte_count):
+        self.sent_bytes += byte_count
         if not self.bytes_per_s:
             return
         now = asyncio.get_running_loop().time()
-        self.free_at = max(now, self.free_at) + count / self.bytes_per_s
-        await asyncio.sleep(self.free_at - now)
+        self.available_at = max(now, self.available_at) + \
+            byte_count / self.bytes_per_s
+        await asyncio.sleep(self.available_at - now)
 
 
 class Proxy:
@@ -28,15 +29,16 @@
     ones; "silent" accepts connections and forwards nothing; "deaf" forwards
     the client's bytes and drops the target's.
 
-    `there` is the link to the target, `back` the link to the client. If
-    `callers` has a link for the first address in the client's first bytes,
-    that link is used instead of `back`.
+    Sends over target_link to the target and over default_client_link to the
+    client. If client_links has a link for the first address in the client's
+    first bytes, sends over that link instead of default_client_link.
     """
 
-    def __init__(self, address, target, there=None, back=None, callers=None):
-        self.there = there or Link()
-        self.back = back or Link()
-        self.callers = callers or {}
+    def __init__(self, address, target, target_link=None,
+                 default_client_link=None, client_links=None):
+        self.target_link = target_link or Link()
+        self.default_client_link = default_client_link or Link()
+        self.client_links = client_links or {}
         self.address = address
         self.target = target
         self.mode = "open"
@@ -63,39 +65,41 @@
         except asyncio.CancelledError:
             pass  # The run is over.
 
-    async def _forward(self, reader, writer):
+    async def _forward(self, client_reader, client_writer):
         if self.mode == "cut":
-            writer.transport.abort()
+            client_writer.transport.abort()
             return
         host, port = self.target.rsplit(":", 1)
         try:
-            there, out = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port))
         except OSError:
-            writer.transport.abort()
+            client_writer.transport.abort()
             return
-        self.writers |= {writer, out}
-        first = await reader.read(4096)
-        back = self._link_of(first)
-        out.write(first)
-        await asyncio.gather(self._pump(reader, out, self.there, False),
-                             self._pump(there, writer, back, True))
-        self.writers -= {writer, out}
-
-    def _link_of(self, first):
-        told = re.search(rb"127\.0\.0\.1:\d+", first)
-        address = told[0].decode() if told else ""
-        return self.callers.get(address, self.back)
-
-    async def _pump(self, reader, writer, link, is_answer):
+        self.writers |= {client_writer, target_writer}
+        first_bytes = await client_reader.read(4096)
+        client_link = self._client_link(first_bytes)
+        target_writer.write(first_bytes)
+        await asyncio.gather(
+            self._pump(client_reader, target_writer, self.target_link, False),
+            self._pump(target_reader, client_writer, client_link, True))
+        self.writers -= {client_writer, target_writer}
+
+    def _client_link(self, first_bytes):
+        match = re.search(rb"127\.0\.0\.1:\d+", first_bytes)
+        address = match[0].decode() if match else ""
+        return self.client_links.get(address, self.default_client_link)
+
+    async def _pump(self, reader, writer, link, is_from_target):
         try:
             while data := await reader.read(
                     8192 if link.bytes_per_s else 65536):
-                await link.carry(len(data))
+                await link.transmit(len(data))
                 if self.delay:
                     await asyncio.sleep(self.delay)
                 while self.mode == "silent":
                     await asyncio.sleep(0.05)
-                if self.mode == "deaf" and is_answer:
+                if self.mode == "deaf" and is_from_target:
                     continue
                 writer.write(data)
                 await writer.drain()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""Runs entry processes before stand-ins, disturbs them, checks the promises."""
+"""Disturbs entry processes before stand-ins and checks the promises."""
 
 import argparse
 import asyncio
@@ -6,11 +6,11 @@
 import sys
 import tempfile
 
-from callers import Caller, KINDS
-from disorder import Disorder
+from callers import Caller, REQUEST_KINDS
+from disorder import DisturbanceInjector
 from fleet import Entry
 from oracle import Oracle
-from world import WARM_UP, World
+from world import WARM_UP, PlatformStandin
 
 SETTLE_S = 4  # After the last disturbance, until all requests must be served.
 
@@ -18,8 +18,8 @@
 async def wait_ready(fleet):
     for _ in range(200):
         await asyncio.sleep(0.1)
-        states = [await is_ready(one) for one in fleet]
-        if all(states):
+        are_ready = [await is_ready(entry) for entry in fleet]
+        if all(are_ready):
             return
     raise SystemExit("the entries did not become ready")
 
@@ -29,43 +29,45 @@
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        head = await asyncio.wait_for(reader.readline(), 1)
+        status_line = await asyncio.wait_for(reader.readline(), 1)
         writer.close()
-        return b" 200 " in head
+        return b" 200 " in status_line
     except (OSError, asyncio.TimeoutError):
         return False
 
 
 async def check_recovery(oracle, seed):
     """Checks that requests of each kind are served after all disturbances."""
-    caller = Caller(oracle, seed, leaving=0)
+    caller = Caller(oracle, seed, abandoned_share=0)
     before = dict(oracle.counts)
-    ends = [caller.run(oracle.now() + 3, 0.05) for _ in range(4)]
-    await asyncio.gather(*ends)
-    for kind in KINDS:
-        gained = {end: count - before.get((kind, end), 0)
-                  for (its, end), count in oracle.counts.items()
-                  if its == kind}
-        good = gained.get(200, 0)
-        if good < 0.9 * sum(gained.values()) or good == 0:
-            oracle.faults.append(f"not recovered: {kind} {gained}")
+    runs = [caller.run(oracle.now() + 3, 0.05) for _ in range(4)]
+    await asyncio.gather(*runs)
+    for kind in REQUEST_KINDS:
+        outcomes = {outcome: count - before.get((kind, outcome), 0)
+                    for (counted_kind, outcome), count in oracle.counts.items()
+                    if counted_kind == kind}
+        served = outcomes.get(200, 0)
+        if served < 0.9 * sum(outcomes.values()) or served == 0:
+            oracle.faults.append(f"not recovered: {kind} {outcomes}")
 
 
 async def soak(options, folder):
-    world = World(options.base)
+    platform = PlatformStandin(options.base)
     if options.only and "cold" in options.only:
-        world.warm_up = WARM_UP
-    await world.start(options.copies)
-    port = 1002 if options.direct else 1004  # As Entry numbers its ports.
-    seeds = [f"127.0.0.1:{options.base + port + 10 * one}" for one in (0, 1)]
+        platform.warm_up = WARM_UP
+    await platform.start(options.copies)
+    # As Entry numbers its ports.
+    first_peer_port = 1002 if options.direct else 1004
+    seeds = [f"127.0.0.1:{options.base + first_peer_port + 10 * number}"
+             for number in (0, 1)]
     downlinks = {}
     fleet = [Entry(options.program, number, options.base + 1000,
-                   world.store_address, folder, seeds, downlinks,
+                   platform.store_address, folder, seeds, downlinks,
                    options.narrow_rate if number < options.narrow else 0)
              for number in range(options.entries)]
     for entry in fleet:
         entry.is_direct = options.direct
-    oracle = Oracle(world.log, fleet)
+    oracle = Oracle(platform.log, fleet)
     oracle.published[1] = oracle.now()
     tasks = []
     try:
@@ -73,40 +75,41 @@
             await entry.open()
         await wait_ready(fleet)
         for entry in fleet:
-            tasks.append(asyncio.create_task(entry.watch()))
-        tasks.append(asyncio.create_task(oracle.watch_machine()))
-        disorder = Disorder(options.seed, world, oracle, options.only)
+            tasks.append(asyncio.create_task(entry.restart_on_exit()))
+        tasks.append(asyncio.create_task(oracle.detect_stalls()))
+        injector = DisturbanceInjector(options.seed, platform, oracle,
+                                       options.only)
         until = oracle.now() + options.seconds
         callers = [Caller(oracle, f"{options.seed}.{number}")
                    for number in range(options.callers)]
         await asyncio.gather(
-            disorder.run(until),
+            injector.run(until),
             callers[0].probe(until + SETTLE_S),
-            *(one.run(until, options.pause) for one in callers))
+            *(caller.run(until, options.pause) for caller in callers))
         await asyncio.sleep(SETTLE_S)
         await check_recovery(oracle, options.seed)
     finally:
         for task in tasks:
             task.cancel()
         for entry in fleet:
-            entry.end()
-    oracle.conclude()
-    return oracle, disorder
+            entry.terminate()
+    oracle.check_run()
+    return oracle, injector
 
 
-def report(oracle, disorder, options):
-    total = {}
-    for (kind, end), count in sorted(oracle.counts.items(), key=str):
-        total.setdefault(kind, []).append(f"{end}: {count}")
-    for kind, ends in total.items():
-        print(f"  {kind}: {', '.join(ends)}")
+def report(oracle, injector, options):
+    outcomes_by_kind = {}
+    for (kind, outcome), count in sorted(oracle.counts.items(), key=str):
+        outcomes_by_kind.setdefault(kind, []).append(f"{outcome}: {count}")
+    for kind, outcomes in outcomes_by_kind.items():
+        print(f"  {kind}: {', '.join(outcomes)}")
     if options.verbose or oracle.faults:
-        print("\n".join(disorder.story))
+        print("\n".join(injector.history))
     for fault in oracle.faults[:20]:
         print(f"FAULT {fault}")
     state = "clean" if not oracle.faults else f"{len(oracle.faults)} faults"
-    print(f"seed {options.seed}: {state}, {len(oracle.sent)} requests, "
-          f"{len(disorder.story)} disturbances")
+    print(f"seed {options.seed}: {state}, {len(oracle.requests)} requests, "
+          f"{len(injector.history)} disturbances")
 
 
 def main():
@@ -131,11 +134,11 @@
     parser.add_argument("--verbose", action="store_true")
     parser.add_argument("--logs", help="folder for the entries' logs")
     options = parser.parse_args()
-    with tempfile.TemporaryDirectory() as made:
-        folder = options.logs or made
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        folder = options.logs or temporary_folder
         os.makedirs(folder, exist_ok=True)
-        oracle, disorder = asyncio.run(soak(options, folder))
-    report(oracle, disorder, options)
+        oracle, injector = asyncio.run(soak(options, folder))
+    report(oracle, injector, options)
     sys.exit(1 if oracle.faults else 0)
 
 
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -7,8 +7,8 @@
 
 import wire
 
-PAGE = 5  # Small, so that lists of a few targets are paged.
-HISTORY = 40  # Events kept; a watch that is further behind gets 410.
+PAGE_SIZE = 5  # Small, so that lists of a few targets are paged.
+HISTORY_SIZE = 40  # Events kept; a watch that is further behind gets 410.
 
 
 class Store:
@@ -18,51 +18,56 @@
         self.events = []
         self.changed = asyncio.Event()
         self.is_down = False
-        self.is_blind = False  # Changes meanwhile are not sent to watches.
-        self.told = 1  # The newest revision that watches may have received.
+        self.is_muted = False  # Changes meanwhile are not sent to watches.
+        # The newest revision that watches may have received.
+        self.notified_revision = 1
 
-    def _note(self, event):
-        if self.is_blind:
+    def _record_event(self, event):
+        if self.is_muted:
             return
-        self.told = self.revision
-        self.events = (self.events + [event])[-HISTORY:]
+        self.notified_revision = self.revision
+        self.events = (self.events + [event])[-HISTORY_SIZE:]
         self.changed.set()
         self.changed = asyncio.Event()
 
     def put(self, key, value):
         """Writes a value as JSON; bytes are written unchanged."""
         self.revision += 1
-        data = value if isinstance(value, bytes) else json.dumps(value).encode()
-        raw = base64.b64encode(data).decode()
-        created = self.items.get(key, {}).get("create_rev", self.revision)
-        self.items[key] = {"key": key, "value": raw, "rev": self.revision,
-                           "create_rev": created, "lease": 0}
-        self._note(self.items[key])
+        value_bytes = value if isinstance(value, bytes) \
+            else json.dumps(value).encode()
+        encoded = base64.b64encode(value_bytes).decode()
+        create_revision = self.items.get(key, {}).get("create_rev",
+                                                      self.revision)
+        self.items[key] = {"key": key, "value": encoded, "rev": self.revision,
+                           "create_rev": create_revision, "lease": 0}
+        self._record_event(self.items[key])
 
     def remove(self, key):
         if self.items.pop(key, None):
             self.revision += 1
-            self._note({"key": key, "rev": self.revision, "removed": True})
+            self._record_event({"key": key, "rev": self.revision,
+                                "removed": True})
 
-    def forget(self):
+    def drop_history(self):
         """Drops the history, with the changes that watches have missed."""
-        self.is_blind = False
-        self.told = self.revision
+        self.is_muted = False
+        self.notified_revision = self.revision
         self.events = []
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def handle(self, message, writer):
         if self.is_down:
-            writer.write(wire.answer(503))
+            writer.write(wire.serialize_response(503))
             return
-        url = urlsplit(message.first.split()[1])
+        url = urlsplit(message.start_line.split()[1])
         query = {name: value[0] for name, value in parse_qs(url.query).items()}
-        calls = {"/api/kv-key": self._key, "/api/kv-range": self._range,
+        handlers = {"/api/kv-key": self._key, "/api/kv-range": self._range,
                  "/api/kv-watch": self._watch}
-        status, body = await calls[url.path](query)
-        writer.write(wire.answer(status, json.dumps(body).encode(),
-                                 Content_Type="application/json"))
+        status, body = await handlers[url.path](query)
+        writer.write(wire.serialize_response(
+            status, json.dumps(body).encode(),
+            Content_Type="application/json"))
 
     async def _key(self, query):
         item = self.items.get(query["key"])
@@ -74,8 +79,8 @@
         keys = sorted(key for key in self.items
                       if key.startswith(query["prefix"])
                       and key > query.get("after", ""))
-        return 200, {"items": [self.items[key] for key in keys[:PAGE]],
-                     "more_pages": len(keys) > PAGE,
+        return 200, {"items": [self.items[key] for key in keys[:PAGE_SIZE]],
+                     "more_pages": len(keys) > PAGE_SIZE,
                      "current_rev": self.revision}
 
     async def _watch(self, query):
@@ -84,15 +89,17 @@
             int(query["wait_ms"]) / 1000
         while True:
             # Dropped events can't be told apart from events that never were.
-            oldest = self.events[0]["rev"] if self.events else self.told + 1
-            if after + 1 < oldest and after < self.told:
+            oldest = self.events[0]["rev"] if self.events \
+                else self.notified_revision + 1
+            if after + 1 < oldest and after < self.notified_revision:
                 return 410, {}
-            events = [one for one in self.events if one["rev"] > after
-                      and one["key"].startswith(query.get("prefix", ""))]
-            left = deadline - asyncio.get_running_loop().time()
-            if events or left <= 0:
-                return 200, {"events": events, "current_rev": self.told}
+            events = [event for event in self.events if event["rev"] > after
+                      and event["key"].startswith(query.get("prefix", ""))]
+            left_s = deadline - asyncio.get_running_loop().time()
+            if events or left_s <= 0:
+                return 200, {"events": events,
+                             "current_rev": self.notified_revision}
             try:
-                await asyncio.wait_for(self.changed.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), left_s)
             except asyncio.TimeoutError:
                 pass
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -3,15 +3,15 @@
 import asyncio
 
 
-class Closed(Exception):
+class ConnectionClosed(Exception):
     """The peer closed or reset the connection."""
 
 
 class Message:
     """A request or a response: its start line, header fields and body."""
 
-    def __init__(self, first, fields, body=b""):
-        self.first = first
+    def __init__(self, start_line, fields, body=b""):
+        self.start_line = start_line
         self.fields = fields
         self.body = body
 
@@ -21,11 +21,11 @@
 
 async def read_head(reader):
     try:
-        raw = await reader.readuntil(b"\r\n\r\n")
+        head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError,
-            asyncio.LimitOverrunError) as fault:
-        raise Closed(str(fault)) from fault
-    lines = raw.decode("latin-1").split("\r\n")
+            asyncio.LimitOverrunError) as error:
+        raise ConnectionClosed(str(error)) from error
+    lines = head.decode("latin-1").split("\r\n")
     fields = {}
     for line in lines[1:]:
         if line:
@@ -39,8 +39,8 @@
     try:
         size = int(await reader.readuntil(b"\r\n"), 16)
         return (await reader.readexactly(size + 2))[:-2]
-    except (asyncio.IncompleteReadError, ConnectionError, ValueError) as fault:
-        raise Closed(str(fault)) from fault
+    except (asyncio.IncompleteReadError, ConnectionError, ValueError) as error:
+        raise ConnectionClosed(str(error)) from error
 
 
 async def read_body(reader, message):
@@ -51,11 +51,11 @@
     size = int(message.field("content-length", "0"))
     try:
         message.body = await reader.readexactly(size)
-    except (asyncio.IncompleteReadError, ConnectionError) as fault:
-        raise Closed(str(fault)) from fault
+    except (asyncio.IncompleteReadError, ConnectionError) as error:
+        raise ConnectionClosed(str(error)) from error
 
 
-def answer(status, body=b"", **fields):
+def serialize_response(status, body=b"", **fields):
     """Returns a serialized response; _ in a field's name stands for -."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}"
@@ -71,17 +71,18 @@
     """Serves requests at an address; handle(message, writer) answers each."""
     host, port = address.rsplit(":", 1)
 
-    async def keep(reader, writer):
-        writer.has_ended = reader.at_eof  # Whether the peer closed.
+    async def handle_connection(reader, writer):
+        writer.peer_has_closed = reader.at_eof  # Whether the peer closed.
         try:
             while True:
                 message = await read_head(reader)
                 await read_body(reader, message)
                 await handle(message, writer)
                 await writer.drain()
-        except (Closed, ConnectionError, asyncio.CancelledError):
+        except (ConnectionClosed, ConnectionError, asyncio.CancelledError):
             pass  # The peer disconnected, or the run is over.
         finally:
             writer.close()
 
-    return await asyncio.start_server(keep, host, int(port), limit=1 << 20)
+    return await asyncio.start_server(handle_connection, host, int(port),
+                                      limit=1 << 20)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -6,28 +6,31 @@
 from fleet import DRAIN_S
 from proxy import Proxy
 from store import Store
-from targets import Engine, Log, Plain, Stage
+from targets import EngineTarget, PlainTarget, StageTarget, TargetLog
 
-SERVICES = {"desk": Plain, "models": Engine, "encode": Stage, "rank": Stage}
-BACK_S = 0.2  # From the removal of a crashed target to its replacement.
-BEAT_S = 0.4  # A dead target's record is removed after three of these.
+SERVICES = {"desk": PlainTarget, "models": EngineTarget,
+            "encode": StageTarget, "rank": StageTarget}
+# From the removal of a crashed target's record to its replacement.
+REPLACEMENT_DELAY_S = 0.2
+HEARTBEAT_S = 0.4  # A dead target's record is removed after three of these.
 # Warm-up settings of the engines' service, if enabled.
 WARM_UP = {"warmup_s": 2.0, "warmup_per_s": 4.0}
 
 
-def configuration(version, more_routes=0, warm_up=None):
-    """Returns one version: the shared routes, its own route, and extra ones."""
-    def route(name, kind, service, **more):
+def configuration(version, extra_routes=0, warm_up=None):
+    """Returns a version: the shared routes, its own one, and extra ones."""
+    def route(name, route_type, service, **settings):
         return {"name": name, "host": "h.example", "prefix": f"/{name}/",
-                "route_type": kind, "timeout_ms": 3000,
+                "route_type": route_type, "timeout_ms": 3000,
                 "target_latency_ms": 800, "priority": 0, "backend": service,
-                "max_attempts": 1, "public": False, **more}
+                "max_attempts": 1, "public": False, **settings}
     stages = [{"backend": "encode", "after": [], "bytes": 8000},
               {"backend": "rank", "after": [0], "bytes": 6000}]
     pieces = {"capacity": 1, "queue": 2, "batch": 8, "call_ms": 30.0,
               "item_ms": 1.0, "room_mb": 1.0, "handle_s": 4.0,
               "link_mbps": 1000}
-    keys = ["always"] + [f"key-{one}" for one in (version - 1, version)]
+    keys = ["always"] + [f"key-{key_version}"
+                         for key_version in (version - 1, version)]
     return {
         "version": version,
         "routes": [
@@ -39,7 +42,7 @@
                   stream_resume=False, gap_aim_ms=300),
             route(f"v{version}", "idempotent", "desk", max_attempts=2),
             *(route(f"more{number}", "idempotent", "desk")
-              for number in range(more_routes))],
+              for number in range(extra_routes))],
         "backends": [
             {"name": "desk", "max_connections": 200},
             {"name": "models", "max_connections": 200, **(warm_up or {}),
@@ -51,22 +54,22 @@
         "tenants": [{"name": "club", "api_keys": keys, "priority": 1}]}
 
 
-class World:
+class PlatformStandin:
     def __init__(self, base):
         self.base = base
         self.store = Store()
         self.store_address = f"127.0.0.1:{base}"
-        self.log = Log()
-        self.log.end_target = self.end_by_itself
+        self.log = TargetLog()
+        self.log.crash_target = self.crash_by_poison
         self.targets = []
         self.proxies = {}  # Of targets, by listed address.
         self.version = 1
-        self.more_routes = 0
+        self.extra_routes = 0
         self.warm_up = None  # WARM_UP, if engines start cold.
         self._next_port = base + 1
-        self._crashes = set()
+        self._crash_tasks = set()
 
-    def port(self):
+    def new_address(self):
         self._next_port += 1
         return f"127.0.0.1:{self._next_port}"
 
@@ -76,62 +79,67 @@
                                                   warm_up=self.warm_up))
         for number in range(copies):
             for service in SERVICES:
-                await self.add(service, "ab"[number % 2])
-
-    async def add(self, service, zone, listed=None, known_as=None):
-        """Starts a target. `listed` is the listed address of an earlier
-        target, `known_as` the id of a target that restarts."""
-        real = self.port()
-        if listed is None:
-            listed = self.port()
-            self.proxies[listed] = Proxy(listed, real)
-            await self.proxies[listed].start()
-        self.proxies[listed].target = real
-        self.proxies[listed].set_mode("open")
-        one = SERVICES[service](self.log, service, listed, zone, known_as)
-        await one.start(real)
-        self.targets.append(one)
-        self.store.put(f"servers/{one.id}", one.entry())
-        return one
-
-    def forget(self, one):
-        one.stop()
-        self.targets.remove(one)
-        self.store.remove(f"servers/{one.id}")
-
-    def end(self, one):
+                await self.add_target(service, "ab"[number % 2])
+
+    async def add_target(self, service, zone, listed_address=None,
+                         target_id=None):
+        """Starts a target. listed_address is that of an earlier target,
+        target_id the id of a target that restarts."""
+        target_address = self.new_address()
+        if listed_address is None:
+            listed_address = self.new_address()
+            self.proxies[listed_address] = Proxy(listed_address,
+                                                 target_address)
+            await self.proxies[listed_address].start()
+        self.proxies[listed_address].target = target_address
+        self.proxies[listed_address].set_mode("open")
+        target = SERVICES[service](self.log, service, listed_address, zone,
+                                   target_id)
+        await target.start(target_address)
+        self.targets.append(target)
+        self.store.put(f"servers/{target.id}", target.record())
+        return target
+
+    def remove_target(self, target):
+        target.stop()
+        self.targets.remove(target)
+        self.store.remove(f"servers/{target.id}")
+
+    def kill(self, target):
         """Kills a target without notice; its stored results are lost."""
-        self.proxies[one.address].set_mode("cut")
-        one.stop()
+        self.proxies[target.address].set_mode("cut")
+        target.stop()
         for handle in list(self.log.results):
-            if handle.startswith(one.address + "/"):
+            if handle.startswith(target.address + "/"):
                 del self.log.results[handle]
 
-    async def restart(self, one, down_s):
+    async def restart(self, target, down_s):
         """Kills a target and restarts it under its id and address, before its
         record expires."""
-        self.end(one)
+        self.kill(target)
         await asyncio.sleep(down_s)
-        self.targets.remove(one)
-        await self.add(one.service, one.zone, one.address, one.id)
+        self.targets.remove(target)
+        await self.add_target(target.service, target.zone, target.address,
+                              target.id)
 
-    async def crash(self, one, down_s):
+    async def crash(self, target, down_s):
         """Kills a target; returns its replacement at the same address."""
-        self.end(one)
-        await asyncio.sleep(3 * BEAT_S)
-        self.targets.remove(one)
-        self.store.remove(f"servers/{one.id}")
+        self.kill(target)
+        await asyncio.sleep(3 * HEARTBEAT_S)
+        self.targets.remove(target)
+        self.store.remove(f"servers/{target.id}")
         await asyncio.sleep(down_s)
-        return await self.add(one.service, one.zone, one.address)
+        return await self.add_target(target.service, target.zone,
+                                     target.address)
 
-    async def start_cold(self, one, down_s):
+    async def replace_by_cold(self, target, down_s):
         """Kills an engine; a cold one replaces it at the same address."""
-        other = await self.crash(one, down_s)
-        other.begin_cold(self.warm_up)
-        self.store.put(f"servers/{other.id}", other.entry())
+        replacement = await self.crash(target, down_s)
+        replacement.start_warm_up(self.warm_up)
+        self.store.put(f"servers/{replacement.id}", replacement.record())
         await asyncio.sleep(self.warm_up["warmup_s"])
-        if other in self.targets:
-            self.store.put(f"servers/{other.id}", other.entry())
+        if replacement in self.targets:
+            self.store.put(f"servers/{replacement.id}", replacement.record())
 
     def set_evacuated(self, zone, is_evacuated):
         if is_evacuated:
@@ -139,25 +147,25 @@
         else:
             self.store.remove(f"op/evacuate/{zone}")
 
-    def end_by_itself(self, one):
+    def crash_by_poison(self, target):
         """Crashes a target because of a request; a replacement follows."""
-        one.mode = "gone"
-        task = asyncio.create_task(self.crash(one, BACK_S))
-        self._crashes.add(task)
-        task.add_done_callback(self._crashes.discard)
+        target.mode = "gone"
+        task = asyncio.create_task(self.crash(target, REPLACEMENT_DELAY_S))
+        self._crash_tasks.add(task)
+        task.add_done_callback(self._crash_tasks.discard)
 
-    async def replace(self, one, leaving):
+    async def replace(self, target, draining):
         """Adds a replacement for a target, then drains the target."""
-        await self.add(one.service, one.zone)
-        one.state = "draining"
-        self.store.put(f"servers/{one.id}", one.entry())
-        leaving[one.id] = asyncio.get_running_loop().time()
+        await self.add_target(target.service, target.zone)
+        target.state = "draining"
+        self.store.put(f"servers/{target.id}", target.record())
+        draining[target.id] = asyncio.get_running_loop().time()
         await asyncio.sleep(DRAIN_S * 4)
-        self.forget(one)
+        self.remove_target(target)
 
     def publish(self, published):
         self.version += 1
         self.store.put("op/config",
-                       configuration(self.version, self.more_routes,
+                       configuration(self.version, self.extra_routes,
                                      self.warm_up))
         published[self.version] = asyncio.get_running_loop().time()
