--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -82,6 +82,7 @@
         self.reader = self.writer = None
 
 
+# Sends random requests to the entries and has the oracle check them.
 class Caller:
     _request_numbers = itertools.count(1)
 
--- a/tests/soak/disorder.py
+++ b/tests/soak/disorder.py
@@ -14,6 +14,8 @@
 GROW_INTERVAL_S = 3  # So that a narrow link can carry all versions.
 
 
+# Runs disturbances of random kinds at random times, drawn from a seed. Each
+# method do_<kind> runs one disturbance; <kind> is its name in --only.
 class DisturbanceInjector:
     def __init__(self, seed, platform, oracle, kinds=None):
         self.random = random.Random(seed)
@@ -134,11 +136,11 @@
             entry.end_disturbance()
 
     async def do_store(self):
-        if self.oracle.store_calm_since > self.oracle.now():
+        if self.oracle.store_undisturbed_since > self.oracle.now():
             return
         mode = self.random.choice(("down", "slow", "forget"))
         self.log(f"store {mode}")
-        self.oracle.store_calm_since = float("inf")
+        self.oracle.store_undisturbed_since = float("inf")
         if mode == "forget":
             self.platform.store.is_muted = True
             self.platform.publish(self.oracle.published)
@@ -151,20 +153,21 @@
             self.platform.store.drop_history()
         for entry in self.oracle.fleet:
             entry.store_proxy.delay = 0
-        self.oracle.store_calm_since = self.oracle.now()
+        self.oracle.store_undisturbed_since = self.oracle.now()
 
+    # Calls disturb(target), later undo(target), for a random target.
     async def _disturb_target(self, disturb, undo):
         target = self.pick_target()
         if target is None:
             return
-        self.oracle.targets_calm_since = float("inf")
+        self.oracle.targets_undisturbed_since = float("inf")
         disturb(target)
         await asyncio.sleep(self.random_duration())
         undo(target)
         other_disturbed = [other for other in self.platform.targets
                            if other is not target and other.mode != "ok"]
         if not other_disturbed:
-            self.oracle.targets_calm_since = self.oracle.now()
+            self.oracle.targets_undisturbed_since = self.oracle.now()
 
     async def do_target_mode(self):
         mode = self.random.choice(("lost", "cut", "slow", "shed", "extra"))
@@ -192,9 +195,9 @@
         if target := self.pick_target():
             self.log(f"crash {target.service} {target.id}")
             target.mode = "gone"
-            self.oracle.targets_calm_since = float("inf")
+            self.oracle.targets_undisturbed_since = float("inf")
             await self.platform.crash(target, self.random_duration(1))
-            self.oracle.targets_calm_since = self.oracle.now()
+            self.oracle.targets_undisturbed_since = self.oracle.now()
 
     async def do_poison(self):
         """Sends all entries a request that crashes targets, for a while."""
@@ -206,7 +209,7 @@
         poison = f"/poison{'-stage' if at_stage else ''}-" \
                  f"{next(self.poison_numbers)}"
         self.log(f"{kind}{poison}")
-        self.oracle.targets_calm_since = float("inf")
+        self.oracle.targets_undisturbed_since = float("inf")
         caller = Caller(self.oracle, poison)
         until = self.oracle.now() + self.random.uniform(4, 12)
         requests = []
@@ -217,15 +220,15 @@
             await asyncio.sleep(self.random.uniform(0.02, 0.5))
         await asyncio.gather(*requests)
         self.active_poisons -= 1
-        self.oracle.targets_calm_since = self.oracle.now()
+        self.oracle.targets_undisturbed_since = self.oracle.now()
 
     async def do_target_restart(self):
         if target := self.pick_target():
             self.log(f"restart {target.service} {target.id}")
             target.mode = "gone"
-            self.oracle.targets_calm_since = float("inf")
+            self.oracle.targets_undisturbed_since = float("inf")
             await self.platform.restart(target, self.random_duration(1))
-            self.oracle.targets_calm_since = self.oracle.now()
+            self.oracle.targets_undisturbed_since = self.oracle.now()
 
     async def do_foreign_entry(self):
         """Writes an invalid record, for a while also over a valid one."""
@@ -274,9 +277,9 @@
         target = self.random.choice(engines)
         self.log(f"replace {target.id} by a cold engine")
         target.mode = "gone"
-        self.oracle.targets_calm_since = float("inf")
+        self.oracle.targets_undisturbed_since = float("inf")
         await self.platform.replace_by_cold(target, self.random_duration(1))
-        self.oracle.targets_calm_since = self.oracle.now()
+        self.oracle.targets_undisturbed_since = self.oracle.now()
 
     async def do_replace(self):
         if target := self.pick_target():
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -103,7 +103,7 @@
         self.disturbance_count -= 1
         self.last_disturbance_end = asyncio.get_running_loop().time()
 
-    def is_calm(self, since):
+    def is_undisturbed(self, since):
         """Whether no unplanned disturbance has affected it after `since`."""
         return self.disturbance_count == 0 and \
             self.last_disturbance_end < since
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -45,6 +45,7 @@
             (self.ended_at is None or at < self.ended_at)
 
 
+# Judges a run: collects the observations and lists broken promises.
 class Oracle:
     def __init__(self, log, fleet):
         self.log = log
@@ -56,10 +57,10 @@
         self.evacuations = []
         self.invalid_records = []  # (target id, from, to)
         self.served_versions = {}  # (entry, incarnation) -> (version, time)
-        self.store_calm_since = 0.0
-        self.targets_calm_since = 0.0
+        self.store_undisturbed_since = 0.0
+        self.targets_undisturbed_since = 0.0
         self.stalled_at = 0.0  # When the machine last stalled this process.
-        self.counts = {}
+        self.outcome_counts = {}
 
     def now(self):
         return asyncio.get_running_loop().time()
@@ -76,21 +77,22 @@
             if self.now() > before + 0.05 + STALL_S:
                 self.stalled_at = self.now()
 
-    def is_calm(self, entry, since):
-        return entry.is_calm(since - RECOVERY_S) and \
-            self.store_calm_since < since - RECOVERY_S and \
+    def is_undisturbed(self, entry, since):
+        return entry.is_undisturbed(since - RECOVERY_S) and \
+            self.store_undisturbed_since < since - RECOVERY_S and \
             self.stalled_at < since
 
     def check_outcome(self, sent):
         """Checks the outcome of a request as its caller sees it."""
         sent.ended_at = self.now()
         if sent.disconnected_at:
-            key = (sent.kind, "left")
-            self.counts[key] = self.counts.get(key, 0) + 1
+            key = (sent.kind, "disconnected")
+            self.outcome_counts[key] = self.outcome_counts.get(key, 0) + 1
             return
-        outcome = sent.status if sent.is_complete else f"{sent.status} broken"
+        outcome = sent.status if sent.is_complete \
+            else f"{sent.status} incomplete"
         key = (sent.kind, outcome)
-        self.counts[key] = self.counts.get(key, 0) + 1
+        self.outcome_counts[key] = self.outcome_counts.get(key, 0) + 1
         if sent.status in (400, 401, 403, 404) and sent.kind != "probe":
             self.faults.append(
                 f"{sent.request_id}: refused with {sent.status}")
@@ -120,8 +122,8 @@
             return  # The target may have broken off the response.
         if not self.log.runs.get(sent.request_id):
             return  # The entry may have closed the connection unread.
-        if self.targets_calm_since < sent.sent_at - RECOVERY_S and \
-                self.is_calm(sent.entry, sent.sent_at) and \
+        if self.targets_undisturbed_since < sent.sent_at - RECOVERY_S and \
+                self.is_undisturbed(sent.entry, sent.sent_at) and \
                 sent.incarnation == sent.entry.incarnation:
             self.faults.append(f"{sent.request_id}: cut off by "
                                f"{sent.entry.name}, stopping "
@@ -138,7 +140,7 @@
         if serves and version > newest_served:
             self.served_versions[key] = (version, sent.ended_at)
         bound = CONFIG_S + SLACK_S
-        if not self.is_calm(sent.entry, sent.sent_at - bound) or \
+        if not self.is_undisturbed(sent.entry, sent.sent_at - bound) or \
                 sent.entry.is_stopping:
             return
         if sent.status in (401, 404) and version == max(self.published) and \
@@ -173,7 +175,7 @@
             sent = self.requests.get(request_id)
             if draining_since and sent and \
                     at > draining_since + DRAIN_S + SLACK_S and \
-                    self.is_calm(sent.entry, at - DRAIN_S):
+                    self.is_undisturbed(sent.entry, at - DRAIN_S):
                 self.faults.append(
                     f"{request_id}: {sent.entry.name} sent it to {target.id} "
                     f"{at - draining_since:.1f} s after it began to drain")
@@ -195,7 +197,7 @@
                 sent = self.requests.get(request_id)
                 if sent and target.id == target_id and \
                         invalid_from + DRAIN_S + SLACK_S < at < invalid_to \
-                        and self.is_calm(sent.entry, at - DRAIN_S):
+                        and self.is_undisturbed(sent.entry, at - DRAIN_S):
                     self.faults.append(f"{request_id}: sent to {target_id} "
                                        f"{at - invalid_from:.1f} s after its "
                                        "record became invalid")
@@ -204,16 +206,17 @@
         """Checks that no entry sends work to an evacuated zone."""
         for at, request_id, target in self.log.arrivals:
             sent = self.requests.get(request_id)
-            if sent and self.is_calm(sent.entry, at - CONFIG_S) and \
+            if sent and self.is_undisturbed(sent.entry, at - CONFIG_S) and \
                     any(evacuation.forbids(at, target)
                         for evacuation in self.evacuations):
                 self.faults.append(
                     f"{request_id}: {sent.entry.name} sent it to {target.id} "
                     f"in zone {target.zone}, which was evacuated")
         for at, target in self.log.piece_calls:
-            if all(entry.is_calm(at - CONFIG_S - RECOVERY_S)
+            if all(entry.is_undisturbed(at - CONFIG_S - RECOVERY_S)
                    for entry in self.fleet) and \
-                    self.store_calm_since < at - CONFIG_S - RECOVERY_S and \
+                    self.store_undisturbed_since < \
+                    at - CONFIG_S - RECOVERY_S and \
                     self.stalled_at < at - CONFIG_S and \
                     any(evacuation.forbids(at, target)
                         for evacuation in self.evacuations):
@@ -228,7 +231,8 @@
         late_sends = [at for at, request_id, _ in self.log.arrivals
                       if at > quarantined_at and request_id in self.requests
                       and self.requests[request_id].poison == poison
-                      and self.is_calm(self.requests[request_id].entry, at)]
+                      and self.is_undisturbed(
+                          self.requests[request_id].entry, at)]
         if "-stage-" in poison:  # Calls of pieces carry no request id.
             late_sends = [at for at in crashes if at > quarantined_at]
         if len(late_sends) > MAX_LATE_SENDS:
@@ -243,7 +247,7 @@
             sent = self.requests.get(request_id)
             if sent and sent.disconnected_at and \
                     at > sent.disconnected_at + CANCEL_S + STALL_S \
-                    and self.is_calm(sent.entry, sent.disconnected_at):
+                    and self.is_undisturbed(sent.entry, sent.disconnected_at):
                 self.faults.append(
                     f"{request_id}: forwarded {at - sent.disconnected_at:.1f} "
                     "s after its caller disconnected")
@@ -254,7 +258,7 @@
             sent = self.requests.get(request_id)
             if sent and sent.disconnected_at and \
                     at > sent.disconnected_at + CANCEL_S + STALL_S \
-                    and self.is_calm(sent.entry, sent.disconnected_at):
+                    and self.is_undisturbed(sent.entry, sent.disconnected_at):
                 self.faults.append(
                     f"{request_id}: still running "
                     f"{at - sent.disconnected_at:.1f} s after its caller "
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -39,12 +39,13 @@
 async def check_recovery(oracle, seed):
     """Checks that requests of each kind are served after all disturbances."""
     caller = Caller(oracle, seed, abandoned_share=0)
-    before = dict(oracle.counts)
+    before = dict(oracle.outcome_counts)
     runs = [caller.run(oracle.now() + 3, 0.05) for _ in range(4)]
     await asyncio.gather(*runs)
     for kind in REQUEST_KINDS:
         outcomes = {outcome: count - before.get((kind, outcome), 0)
-                    for (counted_kind, outcome), count in oracle.counts.items()
+                    for (counted_kind, outcome), count
+                    in oracle.outcome_counts.items()
                     if counted_kind == kind}
         served = outcomes.get(200, 0)
         if served < 0.9 * sum(outcomes.values()) or served == 0:
@@ -99,7 +100,8 @@
 
 def report(oracle, injector, options):
     outcomes_by_kind = {}
-    for (kind, outcome), count in sorted(oracle.counts.items(), key=str):
+    for (kind, outcome), count in sorted(oracle.outcome_counts.items(),
+                                         key=str):
         outcomes_by_kind.setdefault(kind, []).append(f"{outcome}: {count}")
     for kind, outcomes in outcomes_by_kind.items():
         print(f"  {kind}: {', '.join(outcomes)}")
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -11,6 +11,7 @@
 HISTORY_SIZE = 40  # Events kept; a watch that is further behind gets 410.
 
 
+# Keeps records by key, with a history of changes for watches.
 class Store:
     def __init__(self):
         self.items = {}
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -38,6 +38,7 @@
         self.faults.append(text)
 
 
+# A target that logs its work; its mode can make it misbehave.
 class Target:
     _target_numbers = itertools.count(1)
 
@@ -134,6 +135,7 @@
             self.log.finished_work.append((now, request_id))
 
 
+# Answers each request with one short body.
 class PlainTarget(Target):
     async def work(self, message, writer):
         request_id = message.field("x-mangofold-request-id")
@@ -160,6 +162,7 @@
         writer.stray = response if self.mode == "extra" else b""
 
 
+# Checks the stage results that a request lists, then streams events.
 class EngineTarget(Target):
     def check_inputs(self, message, request_id):
         handles = [handle for handle in
@@ -210,6 +213,7 @@
         writer.write(b"0\r\n\r\n")
 
 
+# Runs calls of pieces and keeps their results by handle.
 class StageTarget(Target):
     _result_numbers = itertools.count(1)
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -54,6 +54,8 @@
         "tenants": [{"name": "club", "api_keys": keys, "priority": 1}]}
 
 
+# Runs the store and the targets, and acts as operator of the platform. Each
+# target listens behind a proxy; the store lists the proxy's address.
 class PlatformStandin:
     def __init__(self, base):
         self.base = base
@@ -83,8 +85,11 @@
 
     async def add_target(self, service, zone, listed_address=None,
                          target_id=None):
-        """Starts a target. listed_address is that of an earlier target,
-        target_id the id of a target that restarts."""
+        """Starts a target.
+
+        listed_address is the listed address of an earlier target to replace;
+        target_id is the id of a target to restart.
+        """
         target_address = self.new_address()
         if listed_address is None:
             listed_address = self.new_address()
