--- a/tests/soak/platform_run.py
+++ b/tests/soak/platform_run.py
@@ -1,4 +1,4 @@
-"""Keeps entries up before stand-ins of the platform, to try curl on."""
+"""Runs entries before stand-ins of the platform, to try with curl."""
 
 import argparse
 import asyncio
@@ -6,22 +6,23 @@
 
 from fleet import Entry
 from soak import wait_ready
-from world import World
+from world import PlatformStandin
 
 
 async def run(options, folder):
-    world = World(options.base)
-    await world.start(options.copies)
+    platform = PlatformStandin(options.base)
+    await platform.start(options.copies)
     seeds = [f"127.0.0.1:{options.base + 1004}"]
     fleet = [Entry(options.program, number, options.base + 1000,
-                   world.store_address, folder, seeds, {})
+                   platform.store_address, folder, seeds, {})
              for number in range(options.entries)]
     try:
         for entry in fleet:
             await entry.open()
         await wait_ready(fleet)
-        print("Ctrl-C ends it. Events of a request with two stages:\n"
-              f"curl -N http://{fleet[0].callers}/chat/x -H 'Host: h.example' "
+        print("Ctrl-C stops the entries. A streamed request with two stages:\n"
+              f"curl -N http://{fleet[0].frontend}/chat/x "
+              "-H 'Host: h.example' "
               "-H 'Authorization: Bearer always' "
               "-H 'X-Mangofold-Request-Id: a1' "
               "-H 'X-Mangofold-Pieces: 2,1' "
@@ -33,7 +34,7 @@
             await asyncio.Event().wait()
     finally:
         for entry in fleet:
-            entry.end()
+            entry.terminate()
 
 
 def main():
@@ -43,7 +44,7 @@
     parser.add_argument("--copies", type=int, default=2)
     parser.add_argument("--base", type=int, default=25000)
     parser.add_argument("--seconds", type=float, default=0,
-                        help="ends by itself after so long")
+                        help="stop after so many seconds; 0: run until Ctrl-C")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         try:
