--- a/packages/decision/call_planner.cpp
+++ b/packages/decision/call_planner.cpp
@@ -65,9 +65,10 @@
 duration call_planner::expected_time(const stage_target& target,
                                      std::size_t pieces) const
 {
-    const double nominal = static_cast<double>(m_shape.time_per_call.count()) +
-                           static_cast<double>(m_shape.time_per_piece.count()) *
-                               static_cast<double>(pieces);
+    const double nominal =
+        static_cast<double>(m_profile.time_per_call.count()) +
+        static_cast<double>(m_profile.time_per_piece.count()) *
+            static_cast<double>(pieces);
     return duration(static_cast<duration::rep>(nominal * target.slowdown));
 }
 
@@ -76,7 +77,7 @@
 {
     return target.slowdown >= slow_threshold &&
            now >= target.last_call_ended_at +
-                      m_shape.time_per_call * probe_after_calls;
+                      m_profile.time_per_call * probe_after_calls;
 }
 
 // A slow target holds its pieces for the time of several calls. The pieces are
@@ -86,16 +87,17 @@
 {
     if (target.slowdown < slow_threshold || is_probe_due(target, now))
         return false;
-    const instant own = now + expected_time(target, m_shape.max_pieces);
+    const instant own = now + expected_time(target, m_profile.max_pieces);
     return std::any_of(
         m_targets.begin(), m_targets.end(),
         [&](const auto& entry)
         {
             const stage_target& other = entry.second;
-            if (other.start == target.start || other.backoff_until > now)
+            if (other.incarnation == target.incarnation ||
+                other.backoff_until > now)
                 return false;
             const instant free = std::max(other.free_at, now);
-            return free + expected_time(other, m_shape.max_pieces) < own;
+            return free + expected_time(other, m_profile.max_pieces) < own;
         });
 }
 
@@ -104,7 +106,7 @@
     std::vector<stage_target*> found;
     for (auto& [id, target] : m_targets)
     {
-        if (target.calls_in_progress >= m_shape.slots ||
+        if (target.calls_in_progress >= m_profile.slots ||
             target.backoff_until > now || has_faster_alternative(target, now))
             continue;
         target.drop_expired(now);
@@ -127,7 +129,7 @@
     if (job.zone.empty() || job.zone == target.zone)
         return false;
     const instant until =
-        job.queued_at + m_shape.time_per_call / zone_wait_divisor;
+        job.queued_at + m_profile.time_per_call / zone_wait_divisor;
     if (until <= now)
         return false;
     return std::any_of(
@@ -200,16 +202,16 @@
             return false;
         suspects += crashes;
     }
-    return suspects <= m_shape.max_pieces / 2;
+    return suspects <= m_profile.max_pieces / 2;
 }
 
 void call_planner::fill(planned_call& call, stage_target& target, instant now,
                         const downstream_estimates& downstream)
 {
     const auto room = static_cast<std::uint64_t>(
-        static_cast<double>(m_shape.result_memory_bytes) * usable_room_share);
+        static_cast<double>(m_profile.result_memory_bytes) * usable_room_share);
     std::uint64_t used = target.stored_bytes + target.reserved_bytes;
-    std::size_t space = m_shape.max_pieces;
+    std::size_t space = m_profile.max_pieces;
     const bool is_probe = is_probe_due(target, now);
     std::vector<job_state*> order = jobs_by_urgency(target, now, downstream);
     if (is_probe)
@@ -231,7 +233,7 @@
             {wanted, space, static_cast<std::size_t>(fits)});
         // A job is kept in one call if possible: split over two it would wait
         // for the later one. Only a job too large for any call is split.
-        if (count < wanted && wanted <= m_shape.max_pieces &&
+        if (count < wanted && wanted <= m_profile.max_pieces &&
             wanted * bytes <= room)
             continue;
         for (; count > 0; --count)
@@ -255,7 +257,7 @@
     for (stage_target* target : free_targets(now))
     {
         planned_call call;
-        call.target = target->start;
+        call.target = target->incarnation;
         fill(call, *target, now, downstream);
         if (call.pieces.empty())
             continue;
@@ -280,8 +282,8 @@
     target.last_call_ended_at = now;
     target.free_at = now;
     const auto nominal =
-        static_cast<double>((m_shape.time_per_call +
-                             m_shape.time_per_piece *
+        static_cast<double>((m_profile.time_per_call +
+                             m_profile.time_per_piece *
                                  static_cast<duration::rep>(call.pieces.size()))
                                 .count());
     constexpr double average_weight = 0.1; // Calls of about two seconds.
@@ -316,7 +318,7 @@
     target.backoff_until =
         now + duration(static_cast<duration::rep>(
                   backoff_calls *
-                  static_cast<double>(m_shape.time_per_call.count())));
+                  static_cast<double>(m_profile.time_per_call.count())));
     target.free_at = target.backoff_until;
 }
 
@@ -329,7 +331,7 @@
     const auto found = m_targets.find(call.target);
     if (found != m_targets.end() && call.result_bytes > 0)
         found->second.store("lost/" + std::to_string(++m_unanswered_calls),
-                            call.result_bytes, now + m_shape.result_lifetime);
+                            call.result_bytes, now + m_profile.result_lifetime);
 }
 
 void call_planner::note_memory_full(const target_incarnation& target,
@@ -337,7 +339,7 @@
 {
     const auto found = m_targets.find(target);
     if (found != m_targets.end())
-        found->second.backoff_until = now + m_shape.time_per_call / 2;
+        found->second.backoff_until = now + m_profile.time_per_call / 2;
 }
 
 } // namespace mangofold::decision
--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -48,10 +48,13 @@
 class call_planner
 {
 public:
-    explicit call_planner(catalog::call_profile shape) : m_shape(shape) {}
+    explicit call_planner(catalog::call_profile profile) : m_profile(profile) {}
 
-    void set_shape(const catalog::call_profile& shape) { m_shape = shape; }
-    const catalog::call_profile& shape() const { return m_shape; }
+    void set_profile(const catalog::call_profile& profile)
+    {
+        m_profile = profile;
+    }
+    const catalog::call_profile& profile() const { return m_profile; }
 
     /// Sets the targets that may get calls, with their zones.
     void set_targets(const std::map<target_incarnation, std::string>& zones);
@@ -165,10 +168,10 @@
     bool may_join(const job_state& state, const planned_call& call) const;
     void fill(planned_call& call, stage_target& target, instant now,
               const downstream_estimates& downstream);
-    void requeue_results_of(const stage_target& maker);
+    void requeue_results_of(const stage_target& producer);
     removed_job remove(std::map<std::uint64_t, job_state>::iterator entry);
 
-    catalog::call_profile m_shape;
+    catalog::call_profile m_profile;
     std::map<target_incarnation, stage_target> m_targets;
     std::map<std::uint64_t, job_state> m_jobs;
     std::vector<std::uint64_t> m_finished;
--- a/packages/decision/call_planner_estimates.cpp
+++ b/packages/decision/call_planner_estimates.cpp
@@ -16,7 +16,7 @@
 duration call_planner::average_call_time() const
 {
     return m_average_call_ns == 0
-               ? m_shape.time_per_call
+               ? m_profile.time_per_call
                : duration(static_cast<duration::rep>(m_average_call_ns));
 }
 
@@ -27,12 +27,12 @@
     {
         if (target.backoff_until > now)
             continue;
-        const auto time = expected_time(target, m_shape.max_pieces);
-        pieces_per_ns += static_cast<double>(m_shape.max_pieces) *
-                         m_shape.slots / static_cast<double>(time.count());
+        const auto time = expected_time(target, m_profile.max_pieces);
+        pieces_per_ns += static_cast<double>(m_profile.max_pieces) *
+                         m_profile.slots / static_cast<double>(time.count());
     }
     if (pieces_per_ns <= 0)
-        return m_shape.time_per_call;
+        return m_profile.time_per_call;
     return duration(static_cast<duration::rep>(1 / pieces_per_ns));
 }
 
@@ -47,11 +47,11 @@
 
 duration call_planner::expected_wait(instant now, bool is_late) const
 {
-    instant first_free = now + m_shape.time_per_call * 2;
+    instant first_free = now + m_profile.time_per_call * 2;
     for (const auto& [id, target] : m_targets)
         first_free =
             std::min(first_free,
-                     target.calls_in_progress >= m_shape.slots ||
+                     target.calls_in_progress >= m_profile.slots ||
                              target.backoff_until > now
                          ? std::max({target.free_at, target.backoff_until, now})
                          : now);
--- a/packages/decision/call_planner_jobs.cpp
+++ b/packages/decision/call_planner_jobs.cpp
@@ -55,9 +55,9 @@
     const auto job = m_jobs.find(piece.job);
     const std::uint64_t bytes =
         job == m_jobs.end() ? 0 : job->second.job.result_bytes;
-    const auto maker = m_targets.find(target);
-    if (maker != m_targets.end())
-        maker->second.store(handle, bytes, now + m_shape.result_lifetime);
+    const auto producer = m_targets.find(target);
+    if (producer != m_targets.end())
+        producer->second.store(handle, bytes, now + m_profile.result_lifetime);
     if (job == m_jobs.end())
         return;
     job->second.made[piece.piece] = handle;
@@ -90,9 +90,9 @@
 void call_planner::note_released(const target_incarnation& target,
                                  const std::string& handle)
 {
-    const auto maker = m_targets.find(target);
-    if (maker != m_targets.end())
-        maker->second.release(handle);
+    const auto producer = m_targets.find(target);
+    if (producer != m_targets.end())
+        producer->second.release(handle);
 }
 
 std::vector<call_planner::removed_job> call_planner::take_finished()
@@ -115,9 +115,9 @@
         const job_state& state = entry->second;
         if (!state.is_in_progress() &&
             state.job.expires <
-                now + m_shape.time_per_call +
-                    downstream.remaining_time(state.job, m_shape.time_per_call,
-                                              state.job.is_late))
+                now + m_profile.time_per_call +
+                    downstream.remaining_time(
+                        state.job, m_profile.time_per_call, state.job.is_late))
             jobs.push_back(remove(entry));
         entry = next;
     }
--- a/packages/decision/call_planner_targets.cpp
+++ b/packages/decision/call_planner_targets.cpp
@@ -10,11 +10,12 @@
 
 /// Whether \a listed holds another start of the target of \a start.
 template<typename Map>
-bool has_restarted(const target_incarnation& start, const Map& listed)
+bool has_restarted(const target_incarnation& incarnation, const Map& listed)
 {
-    const auto found = listed.lower_bound(target_incarnation(start.id, 0));
-    return found != listed.end() && found->first.id == start.id &&
-           found->first.started_ms != start.started_ms;
+    const auto found =
+        listed.lower_bound(target_incarnation(incarnation.id, 0));
+    return found != listed.end() && found->first.id == incarnation.id &&
+           found->first.started_ms != incarnation.started_ms;
 }
 
 } // namespace
@@ -22,14 +23,14 @@
 // A target that is no longer listed may go on running for a while and keep its
 // results; a target that restarted under the same id has lost them. Pieces of
 // downstream stages with such inputs would be refused, one call's time later.
-void call_planner::requeue_results_of(const stage_target& maker)
+void call_planner::requeue_results_of(const stage_target& producer)
 {
     for (auto& entry : m_jobs)
     {
         job_state& state = entry.second;
         const auto is_lost = [&](const auto& made)
         {
-            if (!maker.stored.contains(made.second))
+            if (!producer.stored.contains(made.second))
                 return false;
             state.waiting.push_back(made.first);
             ++m_waiting_pieces;
@@ -53,10 +54,10 @@
             requeue_results_of(entry->second);
         entry = m_targets.erase(entry);
     }
-    for (const auto& [start, zone] : zones)
+    for (const auto& [incarnation, zone] : zones)
     {
-        stage_target& target = m_targets[start];
-        target.start = start;
+        stage_target& target = m_targets[incarnation];
+        target.incarnation = incarnation;
         target.zone = zone;
     }
 }
--- a/packages/decision/drain.cpp
+++ b/packages/decision/drain.cpp
@@ -61,11 +61,11 @@
 // run. If all entries stop, no other would: then a late request is accepted if
 // its longest expected duration ends before the process must.
 bool drain::accepts(instant now, const request_duration& time,
-                    bool has_other_entries) const
+                    bool has_remaining_peers) const
 {
     if (!is_out_of_rotation(now))
         return true;
-    if (has_other_entries)
+    if (has_remaining_peers)
         return time.typical <= max_short_request &&
                now + time.longest <= request_deadline();
     return now < m_started_at + max_removal_delay ||
--- a/packages/decision/drain.hpp
+++ b/packages/decision/drain.hpp
@@ -38,10 +38,10 @@
     };
 
     /// Whether a request that arrives at \a now is accepted.
-    /// \a has_other_entries tells whether enough other entries run longer than
-    /// this one to serve the request.
+    /// \a has_remaining_peers tells whether enough other entries run longer
+    /// than this one to serve the request.
     bool accepts(instant now, const request_duration& time,
-                 bool has_other_entries) const;
+                 bool has_remaining_peers) const;
 
     /// Whether the process may exit; \a is_idle tells whether no work is left.
     bool may_exit(instant now, bool is_idle) const;
--- a/packages/decision/entry_roster.cpp
+++ b/packages/decision/entry_roster.cpp
@@ -160,7 +160,7 @@
         clear_elections();
 }
 
-bool entry_roster::is_outlasted() const
+bool entry_roster::has_remaining_peers() const
 {
     const auto outlasts = [this](const auto& other)
     {
--- a/packages/decision/entry_roster.hpp
+++ b/packages/decision/entry_roster.hpp
@@ -68,7 +68,7 @@
 
     /// Whether most entries stay up for longer than this stopping entry: they
     /// are not stopping, or were told to stop later.
-    bool is_outlasted() const;
+    bool has_remaining_peers() const;
 
     /// Sets the services whose pieces are batched.
     void set_services(std::vector<std::string> services);
--- a/packages/decision/stage_target.hpp
+++ b/packages/decision/stage_target.hpp
@@ -14,7 +14,7 @@
 /// of a stage service.
 struct stage_target
 {
-    target_incarnation start;
+    target_incarnation incarnation;
     std::string zone;
     std::uint32_t calls_in_progress = 0; ///< Calls of this planner only.
     instant free_at{};                   ///< When they are expected to end.
--- a/packages/serving/entry_context.hpp
+++ b/packages/serving/entry_context.hpp
@@ -42,7 +42,8 @@
                   node_settings initial_settings, std::uint64_t seed)
         : loop(event_loop), time(process_clock), protocol(target_protocol),
           settings(std::move(initial_settings)),
-          links(event_loop, process_clock), standing(seed), random(seed + 1)
+          connection_pool(event_loop, process_clock), target_health(seed),
+          random(seed + 1)
     {
     }
 
@@ -96,8 +97,8 @@
     /// this process has not read yet: the first catalog and a first target of
     /// the requested service.
     instant startup_wait_end{};
-    target_connection_pool links;
-    decision::target_health standing;
+    target_connection_pool connection_pool; ///< Idle target connections.
+    decision::target_health target_health;
     decision::engine_selector engines;
     decision::quarantine quarantine;
     /// Returns the rank of this entry among all entries for a subject. The
@@ -121,7 +122,8 @@
         decision::decaying_max answer_time;
     };
     std::map<std::string, route_times> times_by_route; ///< By name.
-    job_executor* pieces = nullptr;
+    /// Executes the stage jobs of pipeline requests; set by the owner.
+    job_executor* stage_executor = nullptr;
     std::map<std::string, decision::retry_budget> retry_budgets;
     std::size_t responding_entries = 1; ///< Including this one.
     std::size_t peak_entries = 1;       ///< Highest number that ever answered.
@@ -142,7 +144,7 @@
     std::optional<decision::drain> drain; ///< Set while the process stops.
     /// Whether enough other entries keep running for longer than this stopping
     /// one to serve its callers.
-    std::function<bool()> has_other_entries = [] { return false; };
+    std::function<bool()> has_remaining_peers = [] { return false; };
 
     bool is_stopping() const { return drain.has_value(); }
 };
--- a/packages/serving/entry_process.cpp
+++ b/packages/serving/entry_process.cpp
@@ -42,23 +42,24 @@
                              settings_reloader::reader settings,
                              std::uint64_t seed)
     : m_context(loop, time, protocol, settings(), seed),
-      m_settings(m_context, std::move(settings)), m_gatherer(m_context),
-      m_source(m_context, source), m_mesh(m_context, m_source, m_gatherer),
+      m_settings(m_context, std::move(settings)), m_batcher(m_context),
+      m_source(m_context, source), m_mesh(m_context, m_source, m_batcher),
       m_peers(
-          m_context, m_gatherer,
+          m_context, m_batcher,
           [this](const std::string& address) { m_mesh.add(address); },
           [this](std::size_t known) { return m_mesh.holding(known); },
           [this] { return m_source.catalog_text(); }),
-      m_maker(m_context, m_gatherer, m_mesh), m_requests(m_context),
+      m_router(m_context, m_batcher, m_mesh), m_requests(m_context),
       m_status(m_context, m_context.settings.readiness_address,
                [this](const std::string& path) { return answer_status(path); }),
       m_signals(loop, SIGTERM, SIGINT)
 {
-    m_context.pieces = &m_maker;
+    m_context.stage_executor = &m_router;
     m_context.ordinal_for = [this](const std::string& subject)
-    { return m_mesh.seat_for(subject); };
+    { return m_mesh.ordinal_for(subject); };
     m_context.is_fleet_size_known = [this] { return m_mesh.is_settled(); };
-    m_context.has_other_entries = [this] { return m_mesh.is_outlasted(); };
+    m_context.has_remaining_peers = [this]
+    { return m_mesh.has_remaining_peers(); };
     m_peers.set_ping_handler(
         [this](const std::string& address, const peer::Holding& theirs)
         { m_mesh.handle_ping(address, theirs); });
@@ -100,7 +101,7 @@
         if (m_context.drain->is_out_of_rotation(now))
             m_requests.close_idle_connections();
         const bool is_idle =
-            m_requests.connections() == 0 && m_gatherer.job_count() == 0;
+            m_requests.connections() == 0 && m_batcher.job_count() == 0;
         if (now + final_answers_time >= m_context.drain->request_deadline())
             m_requests.reject_unsent();
         if (m_context.drain->may_exit(now, is_idle))
@@ -123,7 +124,7 @@
         error_code ignored; // The timer is never cancelled.
         timer.expires_after(maintenance_interval);
         co_await timer.async_wait(store_error_in(ignored));
-        m_context.links.close_expired();
+        m_context.connection_pool.close_expired();
         // The reader of the source expires targets after each watch, but a
         // watch can take seconds, and a removed target must expire sooner.
         m_context.directory.expire(m_context.now());
@@ -184,8 +185,8 @@
     spawn(m_context.loop, m_source.run());
     spawn(m_context.loop, m_mesh.run());
     spawn(m_context.loop, m_peers.run());
-    spawn(m_context.loop, m_gatherer.run());
-    spawn(m_context.loop, m_maker.run());
+    spawn(m_context.loop, m_batcher.run());
+    spawn(m_context.loop, m_router.run());
     spawn(m_context.loop, m_requests.run());
     spawn(m_context.loop, m_status.run());
     spawn(m_context.loop, run_maintenance());
--- a/packages/serving/entry_process.hpp
+++ b/packages/serving/entry_process.hpp
@@ -40,11 +40,11 @@
 
     entry_context m_context;
     settings_reloader m_settings;
-    piece_batcher m_gatherer;
+    piece_batcher m_batcher;
     source_reader m_source;
     peer_mesh m_mesh;
     peer_server m_peers;
-    job_router m_maker;
+    job_router m_router;
     request_server m_requests;
     status_server m_status;
     asio::signal_set m_signals;
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -56,7 +56,7 @@
 
 std::uint32_t exchange::max_output_tokens() const
 {
-    return std::max<std::uint32_t>(1, m_facts.max_output_tokens);
+    return std::max<std::uint32_t>(1, m_metadata.max_output_tokens);
 }
 
 duration exchange::remaining_time() const
@@ -77,7 +77,7 @@
     if (!m_content_digest)
         m_content_digest = decision::digest_of(decision::request_content{
             m_account == nullptr ? std::string_view() : m_account->name,
-            view(m_request.method_string()), m_facts.host,
+            view(m_request.method_string()), m_metadata.host,
             view(m_request.target()), m_request.body()});
     return *m_content_digest;
 }
@@ -85,7 +85,7 @@
 decision::generation_request exchange::make_generation_request() const
 {
     decision::generation_request result;
-    for (const prompt_segment& part : m_facts.prompt)
+    for (const prompt_segment& part : m_metadata.prompt)
         result.prompt.push_back({part.id, part.tokens});
     if (m_stages)
         result.inputs = m_stages->result_bytes_by_zone();
@@ -127,7 +127,7 @@
 awaitable<void> exchange::serve()
 {
     const bool has_stages =
-        std::any_of(m_facts.pieces.begin(), m_facts.pieces.end(),
+        std::any_of(m_metadata.pieces.begin(), m_metadata.pieces.end(),
                     [](std::uint32_t count) { return count > 0; }) &&
         !m_route->stages.empty();
     m_context.retry_budget_for(m_service).note_first_attempt();
@@ -169,7 +169,7 @@
     const bool has_other = m_sends->sends() < m_route->max_targets;
     if (m_route->is_stream || !m_route->is_repeatable || !has_other)
         return remaining_time();
-    const auto usual_time = m_context.standing.usual_max_latency();
+    const auto usual_time = m_context.target_health.usual_max_latency();
     if (usual_time)
         return std::clamp(*usual_time, duration(remaining_time() / 10),
                           remaining_time());
@@ -190,7 +190,7 @@
         m_tokens_ahead = m_context.engines.note_sent(
             target, make_generation_request(), m_context.now());
     else
-        m_context.standing.note_sent(target);
+        m_context.target_health.note_sent(target);
     m_is_prompt_read = false;
     m_is_outcome_recorded = false;
 }
@@ -241,13 +241,14 @@
     m_refusal = refusal::none;
     const decision::target_incarnation id = target->incarnation;
     m_call = std::make_shared<target_call>(
-        m_context.links, m_context.protocol,
+        m_context.connection_pool, m_context.protocol,
         call_destination{id, runtime::address::parse(target->address)});
     http_request forwarded_request;
     // Assigning the fields also overwrites method and path, so those are set
     // afterwards.
     static_cast<http_fields&>(forwarded_request.base()) =
-        m_context.protocol.forwarded_fields(m_request, marks_for(*target));
+        m_context.protocol.forwarded_fields(m_request,
+                                            forwarding_metadata_for(*target));
     forwarded_request.method_string(m_request.method_string());
     forwarded_request.target(m_request.target());
     forwarded_request.body() = m_request.body();
@@ -258,7 +259,7 @@
         m_context.times_by_route[m_route->name].time_to_send.add(began -
                                                                  m_started_at);
     const auto send_result = co_await m_call->send_request(
-        forwarded_request, m_facts.id, attempt_timeout());
+        forwarded_request, m_metadata.id, attempt_timeout());
     if (send_result == target_call::outcome::ok)
     {
         record_target_alive(m_context, id, m_call->opened_at());
@@ -269,19 +270,19 @@
     if (m_session->has_disconnected())
     {
         m_call->abort();
-        m_context.standing.note_abandoned(id);
+        m_context.target_health.note_abandoned(id);
     }
     else if (send_result != target_call::outcome::ok)
         outcome = handle_failed_attempt(send_result, id);
-    else if (m_call->facts().has_not_run)
+    else if (m_call->metadata().has_not_run)
         outcome = handle_not_run(*m_call);
     else
     {
         outcome = co_await relay_answer(*m_call);
         if (!is_engine_service() && !m_is_outcome_recorded)
-            m_context.standing.note_answered(id, m_context.now() - began,
-                                             m_call->head().result_int() >=
-                                                 500);
+            m_context.target_health.note_answered(id, m_context.now() - began,
+                                                  m_call->head().result_int() >=
+                                                      500);
     }
     record_attempt_end(id);
     m_call->release_connection();
@@ -301,7 +302,7 @@
     if (is_engine_service())
         m_context.engines.note_failed(target, false, now);
     else
-        m_context.standing.note_no_answer(target, now);
+        m_context.target_health.note_no_answer(target, now);
     const bool may_have_ended = result == target_call::outcome::not_sent ||
                                 result == target_call::outcome::connection_lost;
     if (may_have_ended &&
@@ -321,9 +322,9 @@
         break;
     default:
         m_refusal = refusal::target_lost;
-        record_target_end(m_context,
-                          {content_digest(), target, m_sent_at, now, false},
-                          m_facts.id);
+        record_target_crash(m_context,
+                            {content_digest(), target, m_sent_at, now, false},
+                            m_metadata.id);
     }
     m_context.count("attempts_failed", "why", to_string(m_refusal));
     if (!is_unsent)
@@ -334,14 +335,14 @@
 exchange::attempt_outcome exchange::handle_not_run(const target_call& call)
 {
     const instant now = m_context.now();
-    const decision::target_incarnation& target = call.target().start;
+    const decision::target_incarnation& target = call.target().incarnation;
     m_sends->note_not_run();
     const unsigned status = call.head().result_int();
     m_context.count("attempts_refused", "status", std::to_string(status));
     if (is_engine_service())
         m_context.engines.note_failed(target, true, now);
     else
-        m_context.standing.note_refused(target, now);
+        m_context.target_health.note_refused(target, now);
     m_refusal = refusal::targets_full;
     // 409: the target could not fetch an input because the target that produced
     // it is gone. The stages must run again.
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -115,7 +115,8 @@
     /// \a needs_stages, all targets of a service that a stage needs.
     bool is_service_evacuated(bool needs_stages) const;
     bool may_wait_for_cold_target() const;
-    forwarding_metadata marks_for(const decision::listed_target& target);
+    forwarding_metadata
+    forwarding_metadata_for(const decision::listed_target& target);
     /// Returns how long the next attempt may wait for the answer's head.
     duration attempt_timeout() const;
     void record_attempt_start(const decision::target_incarnation& target);
@@ -138,7 +139,7 @@
     entry_context& m_context;
     std::shared_ptr<caller_session> m_session;
     http_request m_request;
-    request_metadata m_facts;
+    request_metadata m_metadata;
     mutable std::optional<decision::digest> m_content_digest;
     catalog::catalog_ptr m_catalog;
     const catalog::route* m_route = nullptr;
--- a/packages/serving/exchange_admission.cpp
+++ b/packages/serving/exchange_admission.cpp
@@ -52,13 +52,13 @@
 {
     try
     {
-        m_facts = m_context.protocol.parse_request(m_request);
-        validate_request(m_facts);
+        m_metadata = m_context.protocol.parse_request(m_request);
+        validate_request(m_metadata);
     }
     catch (const invalid_message& fault)
     {
         runtime::event("request_unreadable")
-            .with("request", m_facts.id)
+            .with("request", m_metadata.id)
             .with("fault", fault.what())
             .warn();
         m_refusal = refusal::malformed;
@@ -69,7 +69,7 @@
         m_refusal = refusal::no_catalog;
         return false;
     }
-    m_route = m_catalog->find_route(m_facts.host, m_facts.path);
+    m_route = m_catalog->find_route(m_metadata.host, m_metadata.path);
     if (m_route == nullptr)
     {
         m_refusal = refusal::no_route;
@@ -77,8 +77,8 @@
     }
     if (m_catalog->content().checks_keys)
     {
-        if (m_facts.key)
-            m_account = m_catalog->find_account(*m_facts.key);
+        if (m_metadata.key)
+            m_account = m_catalog->find_account(*m_metadata.key);
         if (m_account == nullptr && !m_route->is_public)
         {
             m_refusal = refusal::unknown_key;
@@ -86,9 +86,9 @@
         }
     }
     duration time_limit = m_route->timeout;
-    if (m_facts.budget)
+    if (m_metadata.budget)
         time_limit =
-            std::min(time_limit, *m_facts.budget - answer_transit_time);
+            std::min(time_limit, *m_metadata.budget - answer_transit_time);
     m_deadline = m_started_at + time_limit;
     if (is_declined_while_draining())
     {
@@ -112,7 +112,7 @@
     if (m_context.drain->is_out_of_rotation(now))
         m_process_end = m_context.drain->request_deadline();
     return !m_context.drain->accepts(now, expected_request_time(),
-                                     m_context.has_other_entries());
+                                     m_context.has_remaining_peers());
 }
 
 decision::drain::request_duration exchange::expected_request_time() const
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -36,7 +36,8 @@
 {
     const unsigned status = call.head().result_int();
     m_answer_status = status;
-    const bool is_valid = call.facts().is_signed && call.facts().is_unencoded;
+    const bool is_valid =
+        call.metadata().is_signed && call.metadata().is_unencoded;
     if (is_success(status) && !is_valid)
     {
         m_refusal = refusal::answer_spoiled;
@@ -60,7 +61,7 @@
             co_return attempt_outcome::given_up;
         }
         if (result != target_call::outcome::ok)
-            co_return handle_failed_attempt(result, call.target().start);
+            co_return handle_failed_attempt(result, call.target().incarnation);
     }
     const unsigned status = call.head().result_int();
     // A server error is retried on another target where that is allowed: most
@@ -116,10 +117,10 @@
 exchange::relay_event_stream(target_call& call)
 {
     event_stream events(m_last_event);
-    if (!m_last_event && !m_facts.last_event_id.empty())
+    if (!m_last_event && !m_metadata.last_event_id.empty())
     {
         std::uint64_t last = 0;
-        const std::string& text = m_facts.last_event_id;
+        const std::string& text = m_metadata.last_event_id;
         if (std::from_chars(text.data(), text.data() + text.size(), last).ec ==
             std::errc())
             events = event_stream(last);
@@ -142,9 +143,9 @@
                 m_is_prompt_read = true;
                 if (m_first_byte_at == instant{})
                     m_first_byte_at = m_context.now();
-                m_context.engines.note_prompt_read(call.target().start,
+                m_context.engines.note_prompt_read(call.target().incarnation,
                                                    m_tokens_ahead);
-                m_context.engines.note_answered(call.target().start);
+                m_context.engines.note_answered(call.target().incarnation);
                 m_context.times_by_route[m_route->name].time_to_first_event.add(
                     m_context.now() - m_sent_at);
                 if (m_stages)
@@ -166,12 +167,12 @@
             co_return attempt_outcome::given_up;
         }
         if (result == target_call::outcome::ok)
-            record_target_alive(m_context, call.target().start,
+            record_target_alive(m_context, call.target().incarnation,
                                 call.opened_at());
         else
         {
             const auto outcome =
-                handle_failed_attempt(result, call.target().start);
+                handle_failed_attempt(result, call.target().incarnation);
             // Released stage results must be produced again before the stream
             // can resume.
             co_return m_is_prompt_read&& m_stages&& outcome ==
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -51,7 +51,7 @@
     known.note_trial(content_digest(), now);
     runtime::event("content_tried")
         .with("content", to_text(content_digest()))
-        .with("request", m_facts.id)
+        .with("request", m_metadata.id)
         .with("ends", m_verdict.incidents)
         .warn();
 }
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -63,11 +63,11 @@
         return std::to_string(static_cast<std::uint64_t>(
             std::ceil(seconds(m_verdict.retry_after).count())));
     constexpr double min_delay_s = 0.05;
-    if (m_refusal == refusal::stopping && m_context.has_other_entries())
+    if (m_refusal == refusal::stopping && m_context.has_remaining_peers())
         return std::to_string(min_delay_s).substr(0, 5);
     const double remaining_s =
-        seconds(m_facts.budget
-                    ? *m_facts.budget - (m_context.now() - m_started_at)
+        seconds(m_metadata.budget
+                    ? *m_metadata.budget - (m_context.now() - m_started_at)
                     : std::chrono::seconds(3))
             .count();
     if (m_refusal == refusal::targets_cold && m_cold_retry_at)
@@ -103,9 +103,9 @@
     const unsigned status = refusal_status();
     http_fields fields;
     fields.set(http::field::content_type, "application/json");
-    if (!m_facts.id.empty())
+    if (!m_metadata.id.empty())
         for (const auto& field :
-             m_context.protocol.request_id_fields(m_facts.id))
+             m_context.protocol.request_id_fields(m_metadata.id))
             fields.set(field.name_string(), field.value());
     if (status == 503)
         fields.set(http::field::retry_after, retry_after());
@@ -124,7 +124,7 @@
             std::max<std::int64_t>(0, (then - m_started_at).count() / 1000000));
     };
     runtime::event("request_answered")
-        .with("request", m_facts.id)
+        .with("request", m_metadata.id)
         .with("status", m_answer_status)
         .with("route", m_route->name)
         .with("target", m_last_target.id)
@@ -133,7 +133,7 @@
         .with("sent_ms", ms_to(m_sent_at))
         .with("first_ms", ms_to(m_first_byte_at))
         .with("end_ms", ms_to(m_context.now()))
-        .with("tokens", m_facts.max_output_tokens)
+        .with("tokens", m_metadata.max_output_tokens)
         .with("stages_done", m_stage_times)
         .with("begun_late", m_are_stages_late ? 1 : 0)
         .with("catalog", m_catalog->version())
@@ -144,7 +144,7 @@
     const decision::target_incarnation& target) const
 {
     runtime::event("attempt_lost")
-        .with("request", m_facts.id)
+        .with("request", m_metadata.id)
         .with("content", to_text(content_digest()))
         .with("why", to_string(m_refusal))
         .with("route", m_route->name)
@@ -159,7 +159,7 @@
 void exchange::log_refusal(unsigned status) const
 {
     runtime::event line("request_refused");
-    line.with("request", m_facts.id)
+    line.with("request", m_metadata.id)
         .with("why", to_string(m_refusal))
         .with("status", status)
         .with("route", m_route == nullptr ? "" : m_route->name)
--- a/packages/serving/exchange_stages.cpp
+++ b/packages/serving/exchange_stages.cpp
@@ -66,7 +66,7 @@
     {
         release_stages();
         m_stages = std::make_unique<stage_runner>(
-            m_context, *m_route, m_facts, content_digest(),
+            m_context, *m_route, m_metadata, content_digest(),
             expected_engine_zone(), priority_delay(),
             m_started_at + m_route->latency_objective -
                 times.time_to_first_event.mean_plus(1),
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -55,9 +55,9 @@
         return m_context.engines.choose(candidates, excluded,
                                         make_generation_request(),
                                         m_context.settings.zone, now);
-    return m_context.standing.choose(candidates, excluded,
-                                     m_context.settings.zone, now,
-                                     m_route->is_repeatable);
+    return m_context.target_health.choose(candidates, excluded,
+                                          m_context.settings.zone, now,
+                                          m_route->is_repeatable);
 }
 
 const decision::listed_target* exchange::choose_target()
@@ -98,19 +98,20 @@
     co_return target;
 }
 
-forwarding_metadata exchange::marks_for(const decision::listed_target& target)
+forwarding_metadata
+exchange::forwarding_metadata_for(const decision::listed_target& target)
 {
-    forwarding_metadata marks;
-    marks.target_id = target.incarnation.id;
-    marks.budget = remaining_time();
+    forwarding_metadata metadata;
+    metadata.target_id = target.incarnation.id;
+    metadata.budget = remaining_time();
     if (m_account != nullptr)
-        marks.account = m_account->name;
-    if (!m_route->stages.empty() && !m_facts.pieces.empty())
-        marks.inputs =
+        metadata.account = m_account->name;
+    if (!m_route->stages.empty() && !m_metadata.pieces.empty())
+        metadata.inputs =
             m_stages ? m_stages->results() : std::vector<std::string>();
     if (m_last_event)
-        marks.last_event_id = std::to_string(*m_last_event);
-    return marks;
+        metadata.last_event_id = std::to_string(*m_last_event);
+    return metadata;
 }
 
 // Waits only if the next time slot of a cold target leaves at least half of the
@@ -131,9 +132,9 @@
     if (!needs_stages)
         return false;
     const std::size_t stages =
-        std::min(m_facts.pieces.size(), m_route->stages.size());
+        std::min(m_metadata.pieces.size(), m_route->stages.size());
     for (std::size_t stage = 0; stage < stages; ++stage)
-        if (m_facts.pieces[stage] > 0 &&
+        if (m_metadata.pieces[stage] > 0 &&
             targets.is_evacuated(m_route->stages[stage].service))
             return true;
     return false;
--- a/packages/serving/peer_link.cpp
+++ b/packages/serving/peer_link.cpp
@@ -38,7 +38,7 @@
                      std::string address)
     : m_context(context), m_listener(listener), m_address(std::move(address)),
       m_connect_timeout(initial_connect_timeout), m_ping_now(context.loop),
-      m_target_ends(context)
+      m_crash_sync(context)
 {
 }
 
@@ -65,7 +65,7 @@
         co_return false;
     m_connect_timeout = initial_connect_timeout;
     m_socket = std::make_shared<frame_socket>(std::move(*socket));
-    m_target_ends.reset();
+    m_crash_sync.reset();
     peer::Frame hello;
     hello.mutable_hello()->set_address(
         m_context.settings.announced_address.text());
@@ -137,10 +137,11 @@
     {
         peer::Frame frame;
         *frame.mutable_ping()->mutable_holding() = m_listener.holding();
-        m_target_ends.write(*frame.mutable_ping()->mutable_news());
+        m_crash_sync.write(*frame.mutable_ping()->mutable_news());
         socket->send(frame);
         const instant asked_at = m_context.now();
-        const auto watch = m_listener.watch_of(m_address, !m_submitted.empty());
+        const auto watch =
+            m_listener.probe_schedule_for(m_address, !m_submitted.empty());
         const bool is_ping_requested = co_await m_ping_now.wait(watch.interval);
         const instant now = m_context.now();
         // If this process was stalled, the other entry's silence says nothing,
@@ -187,7 +188,7 @@
     case peer::Frame::kTargets:
         return m_listener.handle_targets(m_address, frame.targets());
     case peer::Frame::kEnds:
-        return handle_target_ends(m_context, frame.ends(), m_address);
+        return handle_target_crashes(m_context, frame.ends(), m_address);
     case peer::Frame::kJobEnd:
     {
         const auto submitted = m_submitted.find(frame.job_end().number());
@@ -218,9 +219,9 @@
     if (!m_is_alive)
         runtime::event("entry_found").with("entry", m_address).info();
     m_is_alive = true;
-    handle_target_ends(m_context, pong.news(), m_address);
-    m_target_ends.set_peer_summary(pong.holding().ends_summary());
-    send_target_ends();
+    handle_target_crashes(m_context, pong.news(), m_address);
+    m_crash_sync.set_peer_summary(pong.holding().ends_summary());
+    send_target_crashes();
     const peer::Want want =
         m_listener.handle_holding(m_address, pong.holding());
     if (!want.catalog() && !want.targets())
@@ -231,12 +232,12 @@
     m_socket->send(request);
 }
 
-// Target ends are sent at once rather than with the next ping, which may be
+// Target crashes are sent at once rather than with the next ping, which may be
 // seconds away in a large fleet.
-void peer_link::send_target_ends()
+void peer_link::send_target_crashes()
 {
     peer::Frame frame;
-    if (m_target_ends.write(*frame.mutable_ends()))
+    if (m_crash_sync.write(*frame.mutable_ends()))
         m_socket->send(frame);
 }
 
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -47,10 +47,11 @@
                                 const peer::Targets& targets) = 0;
     /// Notes that the entry at \a address declined to send a copy for now.
     virtual void note_copy_declined(const std::string& address) = 0;
-    /// Returns how often to ping the entry at \a address, and after which
-    /// silence it counts as lost.
+    /// Returns how often to ping the entry at \a address, and after how long
+    /// without an answer the entry counts as lost. \a holds_work tells whether
+    /// that entry has jobs of this entry.
     virtual decision::entry_roster::probe_schedule
-    watch_of(const std::string& address, bool holds_work) const = 0;
+    probe_schedule_for(const std::string& address, bool holds_work) const = 0;
     /// Notes that the entry at \a address no longer answers.
     virtual void note_lost(const std::string& address) = 0;
     /// Takes back jobs from an entry that no longer answers.
@@ -97,7 +98,7 @@
     awaitable<void> listen();
     void handle_frame(const peer::Frame& frame);
     void handle_pong(const peer::Pong& pong);
-    void send_target_ends();
+    void send_target_crashes();
     void handle_catalog_part(const peer::CatalogPart& part);
     void cancel_unwanted_jobs();
     bool should_reconnect_at_once(instant connected_at) const;
@@ -119,7 +120,7 @@
     auto_reset_event m_ping_now; ///< Raised to ping at once.
     bool m_is_closed = false;
     catalog_assembler m_catalog;
-    target_end_sync m_target_ends; ///< For the current connection.
+    crash_log_sync m_crash_sync; ///< For the current connection.
 };
 
 } // namespace mangofold::serving
--- a/packages/serving/peer_mesh.cpp
+++ b/packages/serving/peer_mesh.cpp
@@ -64,7 +64,7 @@
 }
 
 decision::entry_roster::probe_schedule
-peer_mesh::watch_of(const std::string& address, bool holds_work) const
+peer_mesh::probe_schedule_for(const std::string& address, bool holds_work) const
 {
     return m_roster.probe_schedule_for(address, holds_work, m_context.now());
 }
--- a/packages/serving/peer_mesh.hpp
+++ b/packages/serving/peer_mesh.hpp
@@ -39,11 +39,11 @@
     /// entry batches a service.
     bool is_settled() const { return m_roster.is_settled(m_context.now()); }
 
-    /// Returns the position of this entry in the order of all entries for \a
-    /// matter.
-    decision::ordinal seat_for(const std::string& matter) const
+    /// Returns the position of this entry in an order of all live entries that
+    /// depends on \a key.
+    decision::ordinal ordinal_for(const std::string& key) const
     {
-        return m_roster.ordinal_for(matter);
+        return m_roster.ordinal_for(key);
     }
 
     /// Notes that this entry is stopping.
@@ -51,7 +51,7 @@
 
     /// Whether enough other entries keep running longer than this one to take
     /// over its callers.
-    bool is_outlasted() const { return m_roster.is_outlasted(); }
+    bool has_remaining_peers() const { return m_roster.has_remaining_peers(); }
 
     /// Handles the state that the entry at \a address sent with a ping.
     void handle_ping(const std::string& address,
@@ -60,14 +60,15 @@
     using job_sink = std::function<void(std::vector<routed_job>)>;
     void set_job_sink(job_sink sink) { m_job_sink = std::move(sink); }
 
-    /// Returns the state of this entry, for an entry that
-    /// knows \a known_entries of the entries.
+    /// Returns the state of this entry, for an entry that knows \a
+    /// known_entries of the entries.
     peer::Holding holding(std::size_t known_entries) const;
     peer::Holding holding() const override { return holding(m_roster.size()); }
     peer::Want handle_holding(const std::string& address,
                               const peer::Holding& peer_state) override;
     decision::entry_roster::probe_schedule
-    watch_of(const std::string& address, bool holds_work) const override;
+    probe_schedule_for(const std::string& address,
+                       bool holds_work) const override;
     void note_lost(const std::string& address) override;
     void handle_catalog(const std::string& address,
                         const std::string& text) override;
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -61,21 +61,21 @@
     return job;
 }
 
-void write_target_end(const decision::target_crash& target_end, instant now,
-                      peer::TargetEnd& message)
+void write_target_crash(const decision::target_crash& crash, instant now,
+                        peer::TargetEnd& message)
 {
-    message.set_content_high(target_end.content.high);
-    message.set_content_low(target_end.content.low);
-    message.set_target(target_end.target.id);
-    message.set_born(target_end.target.started_ms);
-    message.set_began_ago_ns((now - target_end.started_at).count());
-    message.set_ended_ago_ns((now - target_end.crashed_at).count());
-    message.set_is_refuted(target_end.is_refuted);
-    message.set_is_claim(target_end.is_claim);
+    message.set_content_high(crash.content.high);
+    message.set_content_low(crash.content.low);
+    message.set_target(crash.target.id);
+    message.set_born(crash.target.started_ms);
+    message.set_began_ago_ns((now - crash.started_at).count());
+    message.set_ended_ago_ns((now - crash.crashed_at).count());
+    message.set_is_refuted(crash.is_refuted);
+    message.set_is_claim(crash.is_claim);
 }
 
-decision::target_crash read_target_end(const peer::TargetEnd& message,
-                                       instant now)
+decision::target_crash read_target_crash(const peer::TargetEnd& message,
+                                         instant now)
 {
     // An end with a time in the future, as another entry may send it, would
     // never expire.
--- a/packages/serving/peer_messages.hpp
+++ b/packages/serving/peer_messages.hpp
@@ -22,12 +22,12 @@
 /// Returns the job of a message received at \a now.
 decision::stage_job read_job(const peer::Job& message, instant now);
 
-/// Writes a target end into a message, with times relative to \a now.
-void write_target_end(const decision::target_crash& target_end, instant now,
-                      peer::TargetEnd& message);
-/// Returns the target end of a message received at \a now.
-decision::target_crash read_target_end(const peer::TargetEnd& message,
-                                       instant now);
+/// Writes \a crash into \a message, with times relative to \a now.
+void write_target_crash(const decision::target_crash& crash, instant now,
+                        peer::TargetEnd& message);
+/// Returns the target crash of \a message, received at \a now.
+decision::target_crash read_target_crash(const peer::TargetEnd& message,
+                                         instant now);
 
 /// Writes evacuated zones into the state that an entry sends.
 void write_zones(const decision::zone_snapshot& known, peer::Holding& message);
--- a/packages/serving/peer_server.cpp
+++ b/packages/serving/peer_server.cpp
@@ -51,14 +51,14 @@
 
 void peer_server::handle_ping(const peer::Ping& ping, client_entry& client)
 {
-    handle_target_ends(m_context, ping.news(), client.address);
-    client.target_ends.set_peer_summary(ping.holding().ends_summary());
+    handle_target_crashes(m_context, ping.news(), client.address);
+    client.crash_sync.set_peer_summary(ping.holding().ends_summary());
     if (m_ping_handler)
         m_ping_handler(client.address, ping.holding());
     peer::Frame reply;
     *reply.mutable_pong()->mutable_holding() =
         m_holding(ping.holding().known());
-    client.target_ends.write(*reply.mutable_pong()->mutable_news());
+    client.crash_sync.write(*reply.mutable_pong()->mutable_news());
     client.socket->send(reply);
 }
 
@@ -75,7 +75,7 @@
     case peer::Frame::kPing:
         return handle_ping(frame.ping(), *client);
     case peer::Frame::kEnds:
-        return handle_target_ends(m_context, frame.ends(), client->address);
+        return handle_target_crashes(m_context, frame.ends(), client->address);
     case peer::Frame::kWant:
         return handle_want(frame.want(), socket);
     case peer::Frame::kJob:
@@ -154,12 +154,13 @@
             *is_wanted = false;
             if (!is_taken)
                 return false;
-            // Targets may have ended while they ran this job; the entry that
-            // submitted it must learn of them before it submits the job again.
-            peer::Frame ends_frame;
+            // Targets may have crashed while they ran this job; the entry that
+            // submitted the job must learn of the crashes before it submits
+            // the job again.
+            peer::Frame crashes_frame;
             if (outcome.status == decision::job_status::failed &&
-                client->target_ends.write(*ends_frame.mutable_ends()))
-                client->socket->send(ends_frame);
+                client->crash_sync.write(*crashes_frame.mutable_ends()))
+                client->socket->send(crashes_frame);
             client->socket->send(job_end_frame(number, outcome));
             return true;
         },
--- a/packages/serving/peer_server.hpp
+++ b/packages/serving/peer_server.hpp
@@ -51,14 +51,14 @@
     struct client_entry
     {
         client_entry(entry_context& context, frame_socket_ptr client_socket)
-            : socket(std::move(client_socket)), target_ends(context)
+            : socket(std::move(client_socket)), crash_sync(context)
         {
         }
 
         frame_socket_ptr socket;
         std::string address; ///< From its hello message; empty before.
         wanted_jobs jobs;
-        target_end_sync target_ends;
+        crash_log_sync crash_sync;
     };
 
     awaitable<void> serve(frame_socket_ptr socket);
--- a/packages/serving/piece_batcher.cpp
+++ b/packages/serving/piece_batcher.cpp
@@ -49,7 +49,7 @@
     auto& queue = m_queues[service];
     if (!queue)
         queue = std::make_unique<service_queue>(*found->calls);
-    queue->planner.set_shape(*found->calls);
+    queue->planner.set_profile(*found->calls);
     update_targets(service, *queue);
     return queue.get();
 }
@@ -109,8 +109,8 @@
 }
 
 std::vector<piece_task>
-piece_batcher::piece_orders(const service_queue& queue,
-                            const decision::planned_call& plan) const
+piece_batcher::piece_tasks(const service_queue& queue,
+                           const decision::planned_call& plan) const
 {
     std::vector<piece_task> found;
     const instant now = m_context.now();
@@ -136,7 +136,7 @@
         if (const auto* job = queue.planner.find(ref.job))
             bytes += static_cast<double>(job->input_bytes);
     const double bytes_per_ns =
-        std::max(queue.planner.shape().link_bytes_per_s, 1.0) / 1e9;
+        std::max(queue.planner.profile().link_bytes_per_s, 1.0) / 1e9;
     return min_fetch_time + duration(static_cast<duration::rep>(
                                 fetch_margin * bytes / bytes_per_ns));
 }
@@ -173,11 +173,11 @@
     }
     const instant began = m_context.now();
     const auto sent_call = std::make_shared<target_call>(
-        m_context.links, m_context.protocol,
+        m_context.connection_pool, m_context.protocol,
         call_destination{target->incarnation,
                          runtime::address::parse(target->address)});
     const http_request request = m_context.protocol.make_pieces_request(
-        plan.target.id, piece_orders(queue, plan));
+        plan.target.id, piece_tasks(queue, plan));
     const duration timeout =
         plan.expected_time * timeout_factor + timeout_margin;
     spawn(m_context.loop,
@@ -187,7 +187,7 @@
         state = co_await sent_call->read_more(timeout);
     const instant now = m_context.now();
     const bool is_full =
-        state == target_call::outcome::ok && sent_call->facts().has_not_run;
+        state == target_call::outcome::ok && sent_call->metadata().has_not_run;
     constexpr unsigned ok = 200;
     if (state == target_call::outcome::ok &&
         sent_call->head().result_int() == ok)
@@ -220,7 +220,7 @@
         m_context.count("calls_failed", "why", is_full ? "full" : "lost");
         if (state == target_call::outcome::connection_lost)
         {
-            note_target_ends(queue, plan, began);
+            note_target_crashes(queue, plan, began);
             queue.planner.note_suspected_crash(plan);
         }
         if (!is_full && !is_unsent)
@@ -256,15 +256,15 @@
     const auto batches = std::exchange(queue.pending_releases, {});
     for (const auto& [address, handles] : batches)
     {
-        decision::target_incarnation maker;
+        decision::target_incarnation producer;
         for (const auto* target : m_context.directory.serving(service))
             if (target->address == address)
-                maker = target->incarnation;
-        if (maker.id.empty())
+                producer = target->incarnation;
+        if (producer.id.empty())
             continue;
         const auto sent_call = std::make_shared<target_call>(
-            m_context.links, m_context.protocol,
-            call_destination{maker, runtime::address::parse(address)});
+            m_context.connection_pool, m_context.protocol,
+            call_destination{producer, runtime::address::parse(address)});
         auto state = co_await sent_call->send_request(
             m_context.protocol.make_release_request(handles), {},
             timeout_margin);
@@ -273,7 +273,7 @@
         if (state != target_call::outcome::ok)
             m_context.count("releases", "how", "lost");
         for (const std::string& handle : handles)
-            queue.planner.note_released(maker, handle);
+            queue.planner.note_released(producer, handle);
         sent_call->release_connection();
     }
 }
--- a/packages/serving/piece_batcher.hpp
+++ b/packages/serving/piece_batcher.hpp
@@ -54,7 +54,7 @@
     awaitable<void> run();
 
 private:
-    /// Whom to tell about a job, and what happened to it so far.
+    /// The callbacks of a job, and the progress of the job.
     struct accepted_job
     {
         outcome_callback done;
@@ -70,8 +70,8 @@
     /// The jobs of one service and the targets that execute them.
     struct service_queue
     {
-        explicit service_queue(const catalog::call_profile& shape)
-            : planner(shape)
+        explicit service_queue(const catalog::call_profile& profile)
+            : planner(profile)
         {
         }
         decision::call_planner planner;
@@ -103,7 +103,7 @@
                                          duration call_time,
                                          bool is_late) const;
     const catalog::call_profile*
-    call_shape_of(const std::string& service) const;
+    call_profile_of(const std::string& service) const;
     void note_started_jobs(const service_queue& queue,
                            const decision::planned_call& plan);
     service_queue* queue_of(const std::string& service);
@@ -124,8 +124,8 @@
     void queue_release(service_queue& queue, const std::string& handle);
     static void handle_lost_call(service_queue& queue,
                                  const decision::planned_call& plan);
-    void note_target_ends(const service_queue& queue,
-                          const decision::planned_call& plan, instant began);
+    void note_target_crashes(const service_queue& queue,
+                             const decision::planned_call& plan, instant began);
     static void requeue(service_queue& queue,
                         const decision::planned_call& plan);
     void end_job(const std::string& service, service_queue& queue,
@@ -134,8 +134,8 @@
     void end_finished_jobs(const std::string& service, service_queue& queue);
     void end_unwanted_jobs(const std::string& service, service_queue& queue);
     std::vector<piece_task>
-    piece_orders(const service_queue& queue,
-                 const decision::planned_call& plan) const;
+    piece_tasks(const service_queue& queue,
+                const decision::planned_call& plan) const;
     awaitable<void> send_releases(std::string service);
     void summarize(const std::string& service, service_queue& queue);
 
--- a/packages/serving/piece_batcher_forecast.cpp
+++ b/packages/serving/piece_batcher_forecast.cpp
@@ -44,17 +44,17 @@
     for (const decision::downstream_pieces& stage : job.downstream)
     {
         forecast.services.push_back(stage.service);
-        const auto* shape = call_shape_of(stage.service);
-        if (shape == nullptr)
+        const auto* profile = call_profile_of(stage.service);
+        if (profile == nullptr)
             continue;
         const duration wait =
             m_backlog.expected_wait(stage.service, now, arrives_in, is_late);
         const duration max_wait =
-            shape->time_per_call *
+            profile->time_per_call *
             (is_late ? max_late_wait_factor : max_wait_factor);
         forecast.may_start = forecast.may_start && wait <= max_wait;
         arrives_in +=
-            wait + m_backlog.call_time(stage.service, shape->time_per_call);
+            wait + m_backlog.call_time(stage.service, profile->time_per_call);
     }
     forecast.remaining_time = arrives_in - call_time;
     return forecast;
@@ -82,7 +82,7 @@
 }
 
 const catalog::call_profile*
-piece_batcher::call_shape_of(const std::string& service) const
+piece_batcher::call_profile_of(const std::string& service) const
 {
     const auto* found = m_context.catalog->find_service(service);
     return found != nullptr && found->calls ? &*found->calls : nullptr;
@@ -103,22 +103,22 @@
         duration arrives_in = plan.expected_time;
         for (const decision::downstream_pieces& next : job->downstream)
         {
-            const auto* shape = call_shape_of(next.service);
-            if (shape == nullptr)
+            const auto* profile = call_profile_of(next.service);
+            if (profile == nullptr)
                 continue;
             const auto targets =
                 static_cast<duration::rep>(std::max<std::size_t>(
                     1, m_context.directory.serving(next.service).size()));
             const duration per_piece =
-                (shape->time_per_call / shape->max_pieces +
-                 shape->time_per_piece) /
+                (profile->time_per_call / profile->max_pieces +
+                 profile->time_per_piece) /
                 targets;
             const duration wait = m_backlog.expected_wait(
                 next.service, now, arrives_in, job->is_late);
             m_backlog.note_started(next, per_piece, now, arrives_in,
                                    job->is_late);
-            arrives_in +=
-                wait + m_backlog.call_time(next.service, shape->time_per_call);
+            arrives_in += wait + m_backlog.call_time(next.service,
+                                                     profile->time_per_call);
         }
     }
 }
--- a/packages/serving/piece_batcher_results.cpp
+++ b/packages/serving/piece_batcher_results.cpp
@@ -83,9 +83,9 @@
         queue.planner.requeue_piece(ref);
 }
 
-void piece_batcher::note_target_ends(const service_queue& queue,
-                                     const decision::planned_call& plan,
-                                     instant began)
+void piece_batcher::note_target_crashes(const service_queue& queue,
+                                        const decision::planned_call& plan,
+                                        instant began)
 {
     std::uint64_t last_job = 0;
     for (const decision::piece_ref& ref : plan.pieces)
@@ -93,7 +93,7 @@
         const decision::stage_job* job = queue.planner.find(ref.job);
         if (job == nullptr || ref.job == std::exchange(last_job, ref.job))
             continue;
-        record_target_end(
+        record_target_crash(
             m_context,
             {job->content, plan.target, began, m_context.now(), false},
             job->request);
--- a/packages/serving/source_reader.cpp
+++ b/packages/serving/source_reader.cpp
@@ -112,7 +112,7 @@
 {
     status = 0;
     const auto sent = std::make_shared<target_call>(
-        m_context.links, m_context.protocol,
+        m_context.connection_pool, m_context.protocol,
         call_destination{"source", m_context.settings.source_address});
     m_current_call = sent;
     const instant began = m_context.now();
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -15,19 +15,19 @@
 } // namespace
 
 stage_runner::stage_runner(entry_context& context, const catalog::route& route,
-                           const request_metadata& facts,
+                           const request_metadata& metadata,
                            const decision::digest& content, std::string zone,
                            duration priority_delay, instant due,
                            instant expires)
-    : m_context(context), m_route(route), m_facts(facts), m_content(content),
-      m_zone(std::move(zone)), m_priority_delay(priority_delay), m_due(due),
-      m_expires(expires),
+    : m_context(context), m_route(route), m_metadata(metadata),
+      m_content(content), m_zone(std::move(zone)),
+      m_priority_delay(priority_delay), m_due(due), m_expires(expires),
       m_changed(std::make_shared<auto_reset_event>(context.loop)),
       m_states(route.stages.size())
 {
     for (std::size_t index = 0; index < m_states.size(); ++index)
         m_states[index].pieces =
-            index < facts.pieces.size() ? facts.pieces[index] : 0;
+            index < metadata.pieces.size() ? metadata.pieces[index] : 0;
 }
 
 bool stage_runner::can_start(std::size_t index) const
@@ -139,7 +139,7 @@
     state.status = stage_status::running;
     state.pending = std::make_shared<pending_job>(m_changed);
     decision::stage_job job;
-    job.request = m_facts.id;
+    job.request = m_metadata.id;
     job.content = m_content;
     job.stage = static_cast<std::uint32_t>(index);
     job.pieces = state.pieces;
@@ -155,13 +155,14 @@
             job.downstream.push_back(
                 {m_route.stages[later].service, m_states[later].pieces});
     if (stage.dependencies.empty())
-        job.key = m_facts.piece_key;
+        job.key = m_metadata.piece_key;
     else
         job.inputs = input_handles(index);
     for (const std::size_t input : stage.dependencies)
         job.input_bytes +=
             m_route.stages.at(input).result_bytes * m_states.at(input).pieces;
-    m_context.pieces->execute(stage.service, std::move(job), state.pending);
+    m_context.stage_executor->execute(stage.service, std::move(job),
+                                      state.pending);
 }
 
 std::optional<decision::job_status> stage_runner::collect_outcomes()
@@ -208,8 +209,8 @@
                  std::find(after.begin(), after.end(), index) != after.end());
         }
         if (!is_needed)
-            m_context.pieces->release(m_route.stages[index].service,
-                                      std::exchange(state.handles, {}));
+            m_context.stage_executor->release(m_route.stages[index].service,
+                                              std::exchange(state.handles, {}));
     }
 }
 
@@ -306,8 +307,8 @@
         if (state.pending)
             state.pending->cancel();
         if (!state.handles.empty())
-            m_context.pieces->release(m_route.stages[index].service,
-                                      std::exchange(state.handles, {}));
+            m_context.stage_executor->release(m_route.stages[index].service,
+                                              std::exchange(state.handles, {}));
     }
 }
 
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -19,9 +19,9 @@
 {
 public:
     stage_runner(entry_context& context, const catalog::route& route,
-                 const request_metadata& facts, const decision::digest& content,
-                 std::string zone, duration priority_delay, instant due,
-                 instant expires);
+                 const request_metadata& metadata,
+                 const decision::digest& content, std::string zone,
+                 duration priority_delay, instant due, instant expires);
     stage_runner(const stage_runner&) = delete;
     stage_runner& operator=(const stage_runner&) = delete;
 
@@ -89,7 +89,7 @@
 
     entry_context& m_context;
     const catalog::route& m_route;
-    const request_metadata& m_facts;
+    const request_metadata& m_metadata;
     decision::digest m_content;
     /// The zone in which the request itself will probably run.
     std::string m_zone;
--- a/packages/serving/target_call.cpp
+++ b/packages/serving/target_call.cpp
@@ -43,7 +43,7 @@
 
 awaitable<target_call::outcome> target_call::connect(duration timeout)
 {
-    m_connection = m_pool.take_idle(m_target.start);
+    m_connection = m_pool.take_idle(m_target.incarnation);
     if (m_connection)
         co_return outcome::ok;
     m_connection = m_pool.create();
@@ -87,7 +87,7 @@
             reset_parser();
             continue;
         }
-        m_facts = m_dialect.parse_response(m_parser->get());
+        m_metadata = m_dialect.parse_response(m_parser->get());
         if (!is_stray_answer())
             co_return outcome::ok;
         const outcome passed = co_await skip_stray_answer(timeout);
@@ -101,7 +101,7 @@
 // would get the answer of another caller. Targets repeat the request id.
 bool target_call::is_stray_answer() const
 {
-    return !m_id.empty() && !m_facts.id.empty() && m_facts.id != m_id;
+    return !m_id.empty() && !m_metadata.id.empty() && m_metadata.id != m_id;
 }
 
 awaitable<target_call::outcome> target_call::skip_stray_answer(duration timeout)
@@ -175,10 +175,10 @@
     // Half of the idle time that the target states, so that a request is never
     // sent while the target closes the connection.
     const duration idle =
-        m_facts.keep_alive_timeout
-            ? std::min(*m_facts.keep_alive_timeout / 2, max_idle_time)
+        m_metadata.keep_alive_timeout
+            ? std::min(*m_metadata.keep_alive_timeout / 2, max_idle_time)
             : default_idle_time;
-    m_pool.put_back(m_target.start, std::move(m_connection), idle);
+    m_pool.put_back(m_target.incarnation, std::move(m_connection), idle);
     m_connection.reset();
 }
 
--- a/packages/serving/target_call.hpp
+++ b/packages/serving/target_call.hpp
@@ -11,10 +11,10 @@
 namespace mangofold::serving
 {
 
-/// The target of a call: one start of a target process and its address.
+/// The target of a call: an incarnation of a target and its address.
 struct call_destination
 {
-    decision::target_incarnation start;
+    decision::target_incarnation incarnation;
     runtime::address address;
 
     friend bool operator==(const call_destination&,
@@ -53,7 +53,7 @@
     awaitable<outcome> read_more(duration timeout);
 
     const http_response_head& head() const { return m_parser->get(); }
-    const response_metadata& facts() const { return m_facts; }
+    const response_metadata& metadata() const { return m_metadata; }
 
     /// Returns the received part of the body and removes it from the buffer.
     std::string take_body();
@@ -95,7 +95,7 @@
     call_destination m_target;
     connection_ptr m_connection;
     std::optional<parser> m_parser;
-    response_metadata m_facts;
+    response_metadata m_metadata;
     std::string m_id;
     bool m_has_no_body = false; ///< Answers to HEAD have no body.
     bool m_is_aborted = false;
--- a/tests/decision/call_planner_test.cpp
+++ b/tests/decision/call_planner_test.cpp
@@ -15,7 +15,7 @@
 
 /// One slot, ten pieces per call, 200 ms per call plus 10 ms per piece, and
 /// memory for thirty results of 1,000 bytes.
-catalog::call_profile shape()
+catalog::call_profile profile()
 {
     return {1, 2, 10, 200ms, 10ms, 31000, 4s};
 }
@@ -34,7 +34,7 @@
 
 call_planner make_planner(int targets)
 {
-    call_planner planner(shape());
+    call_planner planner(profile());
     std::map<target_incarnation, std::string> zones;
     for (int index = 0; index < targets; ++index)
         zones["t" + std::to_string(index)] = "a";
@@ -89,7 +89,7 @@
 // first free target is in zone a, and all of them are made there.
 TEST_CASE("a job waits briefly for a target of its own zone")
 {
-    call_planner planner(shape());
+    call_planner planner(profile());
     planner.set_targets({{"t0", "a"}, {"t1", "b"}});
     const auto job_for_zone_b = [](std::uint64_t number)
     {
@@ -112,7 +112,7 @@
 
 TEST_CASE("a job does not wait for a zone without a target that is free soon")
 {
-    call_planner planner(shape());
+    call_planner planner(profile());
     planner.set_targets({{"t0", "a"}, {"t1", "b"}});
     stage_job zone_b_job = make_job(1, 4, 3s);
     zone_b_job.zone = "b";
@@ -358,7 +358,7 @@
 // as before, and the planner assumes that it still has the result.
 TEST_CASE("results of a target that restarted are made again")
 {
-    call_planner planner(shape());
+    call_planner planner(profile());
     planner.set_targets({{{"t0", 100}, "a"}});
     planner.add(make_job(1, 20, 1s));
     const auto first = planner.next_call(start);
@@ -377,7 +377,7 @@
 // A draining target keeps its results until it exits.
 TEST_CASE("results of a target that is no longer listed are not made again")
 {
-    call_planner planner(shape());
+    call_planner planner(profile());
     planner.set_targets({{{"t0", 100}, "a"}, {{"t1", 100}, "a"}});
     planner.add(make_job(1, 20, 1s));
     const auto first = planner.next_call(start);
--- a/tests/decision/quarantine_mixed_world.hpp
+++ b/tests/decision/quarantine_mixed_world.hpp
@@ -103,7 +103,7 @@
 
     struct target
     {
-        std::uint64_t born = 1;
+        std::uint64_t started_ms = 1;
         instant restarts_at{};
     };
 
@@ -134,7 +134,7 @@
 
     target_incarnation start_of(std::size_t index) const
     {
-        return {"t" + std::to_string(index), m_targets[index].born};
+        return {"t" + std::to_string(index), m_targets[index].started_ms};
     }
 
     // Callers of poison requests send without waiting for an answer, each time
@@ -295,7 +295,7 @@
         for (std::size_t index = 0; index < m_targets.size(); ++index)
             if (has_crashed[index])
             {
-                ++m_targets[index].born;
+                ++m_targets[index].started_ms;
                 m_targets[index].restarts_at = m_now + 200ms + up_to(1s);
             }
     }
--- a/tests/decision/roster_world_test.cpp
+++ b/tests/decision/roster_world_test.cpp
@@ -60,11 +60,12 @@
     /// most entries outlast them.
     std::size_t outlasted() const
     {
-        return static_cast<std::size_t>(std::count_if(
-            m_entries.begin(), m_entries.end(),
-            [](const entry& counted) {
-                return counted.stopping_since && counted.roster->is_outlasted();
-            }));
+        return static_cast<std::size_t>(
+            std::count_if(m_entries.begin(), m_entries.end(),
+                          [](const entry& counted) {
+                              return counted.stopping_since &&
+                                     counted.roster->has_remaining_peers();
+                          }));
     }
 
     void freeze(std::size_t index, duration time)
--- a/tests/decision/target_selection_test.cpp
+++ b/tests/decision/target_selection_test.cpp
@@ -35,33 +35,33 @@
 // Guards against callers that wait for the same dead target again and again.
 TEST_CASE("a target that does not answer twice is avoided, then tried again")
 {
-    target_health standing(1);
+    target_health health(1);
     const auto all = targets(2);
     for (int repeat = 0; repeat < 2; ++repeat)
     {
-        standing.note_sent("t0");
-        standing.note_no_answer("t0", start);
+        health.note_sent("t0");
+        health.note_no_answer("t0", start);
     }
-    CHECK(standing.is_ejected("t0", start));
+    CHECK(health.is_ejected("t0", start));
     for (int repeat = 0; repeat < 20; ++repeat)
-        CHECK(standing.choose(pointers(all), {}, "a", start)->incarnation.id ==
+        CHECK(health.choose(pointers(all), {}, "a", start)->incarnation.id ==
               "t1");
-    CHECK_FALSE(standing.is_ejected("t0", start + 250ms));
+    CHECK_FALSE(health.is_ejected("t0", start + 250ms));
 }
 
 TEST_CASE("a target that became slow gets less work")
 {
-    target_health standing(1);
+    target_health health(1);
     const auto all = targets(2);
     for (int repeat = 0; repeat < 20; ++repeat)
     {
-        standing.note_sent("t0");
-        standing.note_answered("t0", 200ms, false);
-        standing.note_sent("t1");
-        standing.note_answered("t1", 20ms, false);
+        health.note_sent("t0");
+        health.note_answered("t0", 200ms, false);
+        health.note_sent("t1");
+        health.note_answered("t1", 20ms, false);
     }
     for (int repeat = 0; repeat < 20; ++repeat)
-        CHECK(standing.choose(pointers(all), {}, "a", start)->incarnation.id ==
+        CHECK(health.choose(pointers(all), {}, "a", start)->incarnation.id ==
               "t1");
 }
 
@@ -71,7 +71,7 @@
 // that it has recovered.
 TEST_CASE("a target that was slow is found to have recovered")
 {
-    target_health standing(1);
+    target_health health(1);
     auto all = targets(4);
     for (auto& target : all)
         target.zone = "a";
@@ -81,11 +81,11 @@
         for (int request = 0; request < requests; ++request)
         {
             const auto id =
-                standing.choose(pointers(all), {}, "a", start)->incarnation;
+                health.choose(pointers(all), {}, "a", start)->incarnation;
             const bool is_first = id.id == "t0";
             sent += is_first ? 1 : 0;
-            standing.note_sent(id);
-            standing.note_answered(id, is_first ? first_latency : 20ms, false);
+            health.note_sent(id);
+            health.note_answered(id, is_first ? first_latency : 20ms, false);
         }
         return static_cast<double>(sent) / requests;
     };
@@ -99,42 +99,42 @@
 // A request that may not be repeated is lost if the target still fails.
 TEST_CASE("requests that may not be repeated probe no failing target")
 {
-    target_health standing(1);
+    target_health health(1);
     const auto all = targets(2);
     for (int repeat = 0; repeat < 20; ++repeat)
     {
-        standing.note_sent("t0");
-        standing.note_answered("t0", 20ms, true);
+        health.note_sent("t0");
+        health.note_answered("t0", 20ms, true);
     }
     for (int repeat = 0; repeat < 200; ++repeat)
     {
-        standing.note_sent("t1");
-        standing.note_answered("t1", 20ms, false);
-        CHECK(standing.choose(pointers(all), {}, "a", start, false)
+        health.note_sent("t1");
+        health.note_answered("t1", 20ms, false);
+        CHECK(health.choose(pointers(all), {}, "a", start, false)
                   ->incarnation.id == "t1");
     }
 }
 
 TEST_CASE("requests in flight count against a target")
 {
-    target_health standing(1);
+    target_health health(1);
     auto all = targets(3);
     for (auto& target : all)
         target.zone = "a";
     for (int repeat = 0; repeat < 30; ++repeat)
-        standing.note_sent(
-            standing.choose(pointers(all), {}, "a", start)->incarnation.id);
+        health.note_sent(
+            health.choose(pointers(all), {}, "a", start)->incarnation.id);
     for (const auto& target : all)
-        CHECK(standing.in_flight(target.incarnation.id) >= 8);
+        CHECK(health.in_flight(target.incarnation.id) >= 8);
 }
 
 TEST_CASE("a target that was tried is not chosen again")
 {
-    target_health standing(1);
+    target_health health(1);
     const auto all = targets(2);
-    CHECK(standing.choose(pointers(all), {"t0"}, "a", start)->incarnation.id ==
+    CHECK(health.choose(pointers(all), {"t0"}, "a", start)->incarnation.id ==
           "t1");
-    CHECK(standing.choose(pointers(all), {"t0", "t1"}, "a", start) == nullptr);
+    CHECK(health.choose(pointers(all), {"t0", "t1"}, "a", start) == nullptr);
 }
 
 TEST_CASE("generations that share a prompt segment go to one engine")
@@ -189,17 +189,17 @@
 // its cached segments are recorded by id, and restarts under the same id.
 TEST_CASE("a target that restarted under its id has no recorded state")
 {
-    target_health standing(1);
+    target_health health(1);
     const target_incarnation before("t0", 100);
     const target_incarnation after("t0", 200);
     for (int repeat = 0; repeat < 2; ++repeat)
     {
-        standing.note_sent(before);
-        standing.note_no_answer(before, start);
+        health.note_sent(before);
+        health.note_no_answer(before, start);
     }
-    CHECK(standing.is_ejected(before, start));
-    CHECK_FALSE(standing.is_ejected(after, start));
-    CHECK(standing.in_flight(after) == 0);
+    CHECK(health.is_ejected(before, start));
+    CHECK_FALSE(health.is_ejected(after, start));
+    CHECK(health.in_flight(after) == 0);
 
     engine_selector selector;
     generation_request work;
--- a/tests/platform/dialect_test.cpp
+++ b/tests/platform/dialect_test.cpp
@@ -90,19 +90,19 @@
         CHECK_THROWS_AS(platform::read_catalog(text), serving::invalid_message);
 }
 
-TEST_CASE("the facts of a caller's request are parsed from its headers")
+TEST_CASE("the metadata of a caller's request is parsed from its headers")
 {
-    const auto facts =
+    const auto metadata =
         platform::request_dialect().parse_request(caller_request());
-    CHECK(facts.id == "9c41");
-    CHECK(facts.host == "jepu9.example");
-    CHECK(facts.path == "/a/2f");
-    CHECK(facts.budget == 1500ms);
-    CHECK(facts.key == "secret");
-    REQUIRE(facts.prompt.size() == 3);
-    CHECK(facts.prompt[1] == serving::prompt_segment{"91", 410});
-    CHECK(facts.max_output_tokens == 80);
-    CHECK(facts.pieces == std::vector<std::uint32_t>{2, 0, 6});
+    CHECK(metadata.id == "9c41");
+    CHECK(metadata.host == "jepu9.example");
+    CHECK(metadata.path == "/a/2f");
+    CHECK(metadata.budget == 1500ms);
+    CHECK(metadata.key == "secret");
+    REQUIRE(metadata.prompt.size() == 3);
+    CHECK(metadata.prompt[1] == serving::prompt_segment{"91", 410});
+    CHECK(metadata.max_output_tokens == 80);
+    CHECK(metadata.pieces == std::vector<std::uint32_t>{2, 0, 6});
     auto unreadable = caller_request();
     unreadable.set("X-Mangofold-Time-Budget-Ms", "soon");
     CHECK_THROWS_AS(platform::request_dialect().parse_request(unreadable),
@@ -113,13 +113,13 @@
 // another reserved header that the caller set.
 TEST_CASE("reserved headers of a caller are replaced by those of the system")
 {
-    serving::forwarding_metadata marks;
-    marks.target_id = "i-1";
-    marks.budget = 900ms;
-    marks.account = "t";
-    marks.inputs = std::vector<std::string>{"a:1/x", "b:2/y"};
-    const auto headers =
-        platform::request_dialect().forwarded_fields(caller_request(), marks);
+    serving::forwarding_metadata metadata;
+    metadata.target_id = "i-1";
+    metadata.budget = 900ms;
+    metadata.account = "t";
+    metadata.inputs = std::vector<std::string>{"a:1/x", "b:2/y"};
+    const auto headers = platform::request_dialect().forwarded_fields(
+        caller_request(), metadata);
     CHECK(headers["X-Mangofold-Target-Instance"] == "i-1");
     CHECK(headers["X-Mangofold-Time-Budget-Ms"] == "900");
     CHECK(headers["X-Mangofold-Tenant"] == "t");
@@ -141,10 +141,10 @@
     head.set("X-Mangofold-Not-Executed", "1");
     head.set("Keep-Alive", "timeout=7");
     head.set("X-Mangofold-Response-Seal", "s");
-    const auto facts = platform::request_dialect().parse_response(head);
-    CHECK(facts.has_not_run);
-    CHECK(facts.is_signed);
-    CHECK(facts.keep_alive_timeout == 7s);
+    const auto metadata = platform::request_dialect().parse_response(head);
+    CHECK(metadata.has_not_run);
+    CHECK(metadata.is_signed);
+    CHECK(metadata.keep_alive_timeout == 7s);
 }
 
 TEST_CASE("calls for pieces are written and their results parsed")
--- a/tests/platform/untrusted_input_test.cpp
+++ b/tests/platform/untrusted_input_test.cpp
@@ -56,7 +56,7 @@
                                        "Authorization",
                                        "Last-Event-Id"};
 
-/// Whether \a parse either returns or throws facts_error.
+/// Whether \a parse either returns or throws invalid_message.
 template<typename Parse>
 bool returns_or_throws_facts_error(Parse parse)
 {
@@ -96,10 +96,10 @@
     const platform::request_dialect dialect;
     const auto pieces = [&](const char* value)
     {
-        const auto facts =
+        const auto metadata =
             dialect.parse_request(request_with("X-Mangofold-Pieces", value));
-        serving::validate_request(facts);
-        return facts.pieces;
+        serving::validate_request(metadata);
+        return metadata.pieces;
     };
     CHECK_THROWS_AS(pieces("1,4000000000"), serving::invalid_message);
     CHECK_THROWS_AS(pieces("1,99999999999"), serving::invalid_message);
@@ -119,9 +119,9 @@
                               "timeout=99999999999999999999", "\xff"})
     {
         answer.set("Keep-Alive", value);
-        const auto facts = dialect.parse_response(answer.base());
-        CHECK(facts.is_signed);
-        CHECK_FALSE(facts.keep_alive_timeout);
+        const auto metadata = dialect.parse_response(answer.base());
+        CHECK(metadata.is_signed);
+        CHECK_FALSE(metadata.keep_alive_timeout);
     }
 }
 
@@ -137,12 +137,12 @@
             RC_ASSERT(returns_or_throws_facts_error(
                 [&]
                 {
-                    const auto facts = dialect.parse_request(request);
-                    serving::validate_request(facts);
+                    const auto metadata = dialect.parse_request(request);
+                    serving::validate_request(metadata);
                     // Accepted values can be written into requests to a target.
                     serving::piece_task order;
-                    order.request_id = facts.id;
-                    order.key = facts.piece_key;
+                    order.request_id = metadata.id;
+                    order.key = metadata.piece_key;
                     dialect.make_pieces_request("i-1", {order});
                     dialect.forwarded_fields(request, {});
                 }));
--- a/tests/serving/peer_link_test.cpp
+++ b/tests/serving/peer_link_test.cpp
@@ -19,8 +19,8 @@
     {
         return {};
     }
-    decision::entry_roster::probe_schedule watch_of(const std::string&,
-                                                    bool) const override
+    decision::entry_roster::probe_schedule
+    probe_schedule_for(const std::string&, bool) const override
     {
         return watch;
     }
--- a/tests/serving/peer_mesh_test.cpp
+++ b/tests/serving/peer_mesh_test.cpp
@@ -19,8 +19,7 @@
 struct outdated_entry : test::serving_fixture
 {
     outdated_entry()
-        : source(*context, source_speech),
-          mesh(*context, source, *piece_gatherer)
+        : source(*context, source_speech), mesh(*context, source, *batcher)
     {
         context->settings.max_configuration_delay = 3s;
         for (auto& other : others)
--- a/tests/serving/peer_server_test.cpp
+++ b/tests/serving/peer_server_test.cpp
@@ -19,7 +19,7 @@
     {
         context->settings.peer_address = {"127.0.0.1", free_port()};
         server.emplace(
-            *context, *piece_gatherer, [](const std::string&) {},
+            *context, *batcher, [](const std::string&) {},
             [](std::size_t) { return peer::Holding(); },
             [this] { return text; });
         spawn(loop, server->run());
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -127,7 +127,7 @@
 // the other: it ended 16 of 18 engines within twelve seconds, with everything
 // that ran on them. The request crashes its target and the caller gets a 502.
 // The caller repeats it under a new id, and the entry, which does not recognize
-// it, sends it to the next target. All ends had the same route, different
+// it, sends it to the next target. All crashes had the same route, different
 // request ids, and the same digest of path, body and account, which tells such
 // a request from targets that crash by themselves.
 TEST_CASE("a request that crashes its targets is quarantined")
--- a/tests/serving/stream_test.cpp
+++ b/tests/serving/stream_test.cpp
@@ -179,7 +179,7 @@
 {
     serving_fixture entry;
     std::string where;
-    auto& maker = entry.add_target(
+    auto& producer = entry.add_target(
         "pieces",
         [&where](const std::string& text, std::size_t)
         {
@@ -199,7 +199,7 @@
             return scripted_target::response{response_text("", results),
                                              end::keep};
         });
-    where = maker.address();
+    where = producer.address();
     entry.add_target("events",
                      [](const std::string&, std::size_t)
                      {
@@ -210,17 +210,17 @@
     const std::string got = entry.send_and_receive(
         request_text("/staged/", "r1", "Pieces: 21\r\n"), last_chunk);
     CHECK(has(got, "data: e1"));
-    REQUIRE(maker.requests().size() >= 2);
-    CHECK(has(maker.requests()[0], "r1.0.0\n"));
-    CHECK(has(maker.requests()[0], "r1.0.1\n"));
-    CHECK(has(maker.requests()[1],
+    REQUIRE(producer.requests().size() >= 2);
+    CHECK(has(producer.requests()[0], "r1.0.0\n"));
+    CHECK(has(producer.requests()[0], "r1.0.1\n"));
+    CHECK(has(producer.requests()[1],
               "r1.1.0<" + where + "/r1.0.0<" + where + "/r1.0.1\n"));
     entry.time.advance(50ms);
     entry.run_until(
         [&]
         {
             std::size_t released = 0;
-            for (const auto& received : maker.requests())
+            for (const auto& received : producer.requests())
                 if (has(received, "/let-go"))
                     released += count(received, where + "/r1.");
             return released == 3;
@@ -236,7 +236,7 @@
     serving_fixture entry;
     std::string where;
     std::size_t made = 0;
-    auto& maker = entry.add_target(
+    auto& producer = entry.add_target(
         "pieces",
         [&made, &where](const std::string& text, std::size_t)
         {
@@ -249,20 +249,20 @@
                                                    end::keep}
                        : scripted_target::response{"", end::hang};
         });
-    where = maker.address();
+    where = producer.address();
     const auto caller = entry.connect();
     entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
     entry.run_until([&] { return made == 2; });
     entry.settle();
-    CHECK(maker.requests().size() == 2);
+    CHECK(producer.requests().size() == 2);
     // Network latency and transfer take 40 ms at most; the call would take 210
     // ms.
     entry.time.advance(60ms);
     entry.settle();
     entry.time.advance(30ms);
     entry.settle();
-    REQUIRE(maker.requests().size() == 3);
-    CHECK(has(maker.requests()[2], "/let-go"));
+    REQUIRE(producer.requests().size() == 3);
+    CHECK(has(producer.requests()[2], "/let-go"));
 }
 
 // Guards against a request that is late although its chain of stages finished
@@ -412,12 +412,12 @@
 TEST_CASE("a process may end while stages are running")
 {
     serving_fixture entry;
-    auto& maker =
+    auto& producer =
         entry.add_target("pieces",
                          [](const std::string&, std::size_t) {
                              return scripted_target::response{"", end::hang};
                          });
     const auto caller = entry.connect();
     entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
-    entry.run_until([&] { return maker.requests().size() == 1; });
+    entry.run_until([&] { return producer.requests().size() == 1; });
 }
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -81,11 +81,11 @@
 {
     serving_fixture entry;
     entry.add_target("events", complete_response, "b");
-    auto& maker = entry.add_target("pieces", no_answer, "a");
+    auto& producer = entry.add_target("pieces", no_answer, "a");
     const auto first = entry.connect();
     entry.send(*first, request_text("/staged/", "r1",
                                     "Pieces: 81\r\nBudget: 3000\r\n"));
-    entry.run_until([&] { return maker.requests().size() == 1; });
+    entry.run_until([&] { return producer.requests().size() == 1; });
     const auto second = entry.connect();
     entry.send(*second, request_text("/staged/", "r2",
                                      "Pieces: 81\r\nBudget: 3000\r\n"));
@@ -93,7 +93,7 @@
     evacuate(entry, {"a"}, 5);
     entry.time.advance(30ms);
     entry.run_until([&] { return contains(second->received, "evacuated"); });
-    CHECK(maker.requests().size() == 1);
+    CHECK(producer.requests().size() == 1);
 }
 
 // Guards against results that are discarded because their zone may execute no
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -79,11 +79,11 @@
     context->has_some_targets = true;
     context->evacuations.merge({{}, 1});
     context->directory.set_source_available(true, time.now());
-    context->pieces = this;
-    piece_gatherer = std::make_unique<piece_batcher>(*context);
+    context->stage_executor = this;
+    batcher = std::make_unique<piece_batcher>(*context);
     server = std::make_unique<request_server>(*context);
     spawn(loop, server->run());
-    spawn(loop, piece_gatherer->run());
+    spawn(loop, batcher->run());
     spawn(loop, note_timer_runs());
 }
 
@@ -183,7 +183,7 @@
                               decision::stage_job job, pending_job_ptr wait)
 {
     jobs.push_back(job);
-    piece_gatherer->add(
+    batcher->add(
         service, std::move(job),
         [wait](job_outcome outcome)
         {
@@ -198,7 +198,7 @@
 void serving_fixture::release(const std::string& service,
                               std::vector<std::string> handles)
 {
-    piece_gatherer->release(service, handles);
+    batcher->release(service, handles);
 }
 
 std::string request_text(const std::string& path, const std::string& id,
--- a/tests/support/serving_fixture.hpp
+++ b/tests/support/serving_fixture.hpp
@@ -57,7 +57,7 @@
     runtime::paused_clock time;
     plain_dialect dialect;
     std::unique_ptr<serving::entry_context> context;
-    std::unique_ptr<serving::piece_batcher> piece_gatherer;
+    std::unique_ptr<serving::piece_batcher> batcher;
     std::unique_ptr<serving::request_server> server;
     std::vector<decision::stage_job> jobs; ///< All jobs requested so far.
 
