--- a/packages/decision/admission_queue.hpp
+++ b/packages/decision/admission_queue.hpp
@@ -32,7 +32,7 @@
     std::size_t bulk_reserve = 0;     ///< Slots closed to bulk work.
     std::size_t standard_reserve = 0; ///< Slots closed to bulk and
                                       ///< standard work.
-    std::size_t max_queued = 512;     ///< Most queued work per class.
+    std::size_t max_queued = 512;     ///< Limit per class.
 
     /// Returns the number of slots closed to class \a priority.
     std::size_t reserve_for(work_class priority) const
--- a/packages/decision/call_planner.cpp
+++ b/packages/decision/call_planner.cpp
@@ -146,8 +146,8 @@
 // late goes after those that can be on time, so that one late request does not
 // make all others late too. Whether it would be late is decided once, when it
 // starts: a request that started on time continues as such, or its results
-// would be dropped and made again. A job that prefers another zone counts as
-// due one call's time later.
+// would be dropped and produced again. A job that prefers another zone counts
+// as due one call's time later.
 std::vector<call_planner::job_state*>
 call_planner::jobs_by_urgency(const stage_target& target, instant now,
                               const downstream_estimates& downstream)
@@ -184,8 +184,8 @@
 
 // A request that crashes its targets would fail all other requests of its call
 // again and again: they are due together, so they would share the next call
-// too. Requests of a call whose target crashed are therefore made in two calls,
-// and after a second crash each in a call of its own, so that only the
+// too. Requests of a call whose target crashed are therefore executed in two
+// calls, and after a second crash each in a call of its own, so that only the
 // responsible request fails a third time.
 bool call_planner::may_join(const job_state& state,
                             const planned_call& call) const
--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -35,7 +35,7 @@
     std::function<duration(const stage_job&, duration call, bool is_late)>
         remaining_time = [](const stage_job&, duration, bool)
     { return duration::zero(); };
-    /// Whether a request of which no stage was made yet may start now.
+    /// Whether a request of which no stage was started yet may start now.
     std::function<bool(const stage_job&, duration call)> may_start =
         [](const stage_job&, duration) { return true; };
 };
@@ -79,11 +79,11 @@
     /// occupy the target's memory until they expire.
     void note_call_unanswered(const planned_call& call, instant now);
 
-    /// Records that \a target made \a piece and stored the result as
+    /// Records that \a target completed \a piece and stored the result as
     /// \a handle.
-    void note_piece_made(const piece_ref& piece,
-                         const target_incarnation& target,
-                         const std::string& handle, instant now);
+    void note_piece_completed(const piece_ref& piece,
+                              const target_incarnation& target,
+                              const std::string& handle, instant now);
     /// Puts \a piece back among the waiting ones.
     void requeue_piece(const piece_ref& piece);
     /// Records that the target of \a call may have crashed because of it.
@@ -91,12 +91,12 @@
     /// Records that \a target had no memory left for a result.
     void note_memory_full(const target_incarnation& target, instant now);
 
-    /// Records that the result \a handle, made by \a target, was released.
+    /// Records that the result \a handle, produced by \a target, was released.
     void note_released(const target_incarnation& target,
                        const std::string& handle);
 
-    /// A job removed from the planner, with the handles of the results made so
-    /// far in the order of the pieces.
+    /// A job removed from the planner, with the handles of the results produced
+    /// so far in the order of the pieces.
     struct removed_job
     {
         stage_job job;
@@ -138,20 +138,20 @@
     std::size_t waiting_pieces() const { return m_waiting_pieces; }
     /// Returns the number of waiting pieces of jobs that can be on time.
     std::size_t waiting_pieces_on_time() const;
-    /// Returns the number of jobs in the planner, started ones included.
-    std::size_t waiting_jobs() const { return m_jobs.size(); }
+    /// Returns the number of jobs, started ones included.
+    std::size_t job_count() const { return m_jobs.size(); }
 
 private:
     struct job_state
     {
         stage_job job;
         std::vector<std::uint32_t> waiting; ///< Pieces that are in no call.
-        std::map<std::uint32_t, std::string> made; ///< Handles, by piece.
+        std::map<std::uint32_t, std::string> results; ///< By piece.
         std::uint32_t crashes = 0; ///< See note_suspected_crash().
 
         bool is_in_progress() const
         {
-            return waiting.size() + made.size() < job.pieces;
+            return waiting.size() + results.size() < job.pieces;
         }
     };
 
--- a/packages/decision/call_planner_jobs.cpp
+++ b/packages/decision/call_planner_jobs.cpp
@@ -10,7 +10,7 @@
 {
     m_waiting_pieces -= entry->second.waiting.size();
     removed_job removed{std::move(entry->second.job), {}};
-    for (auto& [piece, handle] : entry->second.made)
+    for (auto& [piece, handle] : entry->second.results)
         removed.handles.push_back(std::move(handle));
     m_jobs.erase(entry);
     return removed;
@@ -48,9 +48,9 @@
     return found == m_jobs.end() ? nullptr : &found->second.job;
 }
 
-void call_planner::note_piece_made(const piece_ref& piece,
-                                   const target_incarnation& target,
-                                   const std::string& handle, instant now)
+void call_planner::note_piece_completed(const piece_ref& piece,
+                                        const target_incarnation& target,
+                                        const std::string& handle, instant now)
 {
     const auto job = m_jobs.find(piece.job);
     const std::uint64_t bytes =
@@ -60,15 +60,15 @@
         producer->second.store(handle, bytes, now + m_profile.result_lifetime);
     if (job == m_jobs.end())
         return;
-    job->second.made[piece.piece] = handle;
-    if (job->second.made.size() == job->second.job.pieces)
+    job->second.results[piece.piece] = handle;
+    if (job->second.results.size() == job->second.job.pieces)
         m_finished.push_back(piece.job);
 }
 
 void call_planner::requeue_piece(const piece_ref& piece)
 {
     const auto job = m_jobs.find(piece.job);
-    if (job == m_jobs.end() || job->second.made.contains(piece.piece))
+    if (job == m_jobs.end() || job->second.results.contains(piece.piece))
         return;
     job->second.waiting.push_back(piece.piece);
     ++m_waiting_pieces;
--- a/packages/decision/call_planner_targets.cpp
+++ b/packages/decision/call_planner_targets.cpp
@@ -28,15 +28,15 @@
     for (auto& entry : m_jobs)
     {
         job_state& state = entry.second;
-        const auto is_lost = [&](const auto& made)
+        const auto is_lost = [&](const auto& result)
         {
-            if (!producer.stored.contains(made.second))
+            if (!producer.stored.contains(result.second))
                 return false;
-            state.waiting.push_back(made.first);
+            state.waiting.push_back(result.first);
             ++m_waiting_pieces;
             return true;
         };
-        std::erase_if(state.made, is_lost);
+        std::erase_if(state.results, is_lost);
     }
 }
 
--- a/packages/decision/downstream_backlog.hpp
+++ b/packages/decision/downstream_backlog.hpp
@@ -27,7 +27,7 @@
 ///
 /// A request that has started and then waits occupies memory for its results,
 /// which is as scarce as compute time. Results that wait too long are dropped
-/// and have to be made again.
+/// and have to be produced again.
 class downstream_backlog
 {
 public:
--- a/packages/decision/engine_selector.cpp
+++ b/packages/decision/engine_selector.cpp
@@ -53,11 +53,11 @@
 
 } // namespace
 
-double engine_selector::uncached_tokens(const target_incarnation& id,
+double engine_selector::uncached_tokens(const target_incarnation& target,
                                         const generation_request& work,
                                         instant now) const
 {
-    const auto found = m_engines.find(id);
+    const auto found = m_engines.find(target);
     double tokens = 0;
     bool is_cached = found != m_engines.end();
     for (const prompt_segment& segment : work.prompt)
@@ -124,11 +124,11 @@
                   { return segment.second + cache_lifetime <= now; });
 }
 
-double engine_selector::note_sent(const target_incarnation& id,
+double engine_selector::note_sent(const target_incarnation& target,
                                   const generation_request& work, instant now)
 {
-    const double tokens = uncached_tokens(id, work, now);
-    engine_state& engine = m_engines[id];
+    const double tokens = uncached_tokens(target, work, now);
+    engine_state& engine = m_engines[target];
     prune(engine, now);
     for (const prompt_segment& segment : work.prompt)
         engine.last_used[segment.id] = now;
@@ -138,23 +138,23 @@
     return tokens;
 }
 
-void engine_selector::note_prompt_read(const target_incarnation& id,
+void engine_selector::note_prompt_read(const target_incarnation& target,
                                        double tokens)
 {
-    engine_state& engine = m_engines[id];
+    engine_state& engine = m_engines[target];
     engine.queued_tokens = std::max(0.0, engine.queued_tokens - tokens);
 }
 
-void engine_selector::note_ended(const target_incarnation& id)
+void engine_selector::note_ended(const target_incarnation& target)
 {
-    engine_state& engine = m_engines[id];
+    engine_state& engine = m_engines[target];
     engine.running -= engine.running > 0 ? 1 : 0;
 }
 
-void engine_selector::note_failed(const target_incarnation& id, bool is_refusal,
-                                  instant now)
+void engine_selector::note_failed(const target_incarnation& target,
+                                  bool is_refusal, instant now)
 {
-    engine_state& engine = m_engines[id];
+    engine_state& engine = m_engines[target];
     if (!is_refusal)
         engine.last_used.clear();
     engine.consecutive_failures += 1;
@@ -163,9 +163,9 @@
     engine.backoff_until = now + initial_backoff * (1U << doublings);
 }
 
-void engine_selector::note_answered(const target_incarnation& id)
+void engine_selector::note_answered(const target_incarnation& target)
 {
-    engine_state& engine = m_engines[id];
+    engine_state& engine = m_engines[target];
     engine.consecutive_failures = 0;
     engine.backoff_until = {};
 }
--- a/packages/decision/engine_selector.hpp
+++ b/packages/decision/engine_selector.hpp
@@ -43,25 +43,26 @@
            const generation_request& work, const std::string& zone,
            instant now);
 
-    /// Records that \a work was sent to \a id. Returns the prefill tokens that
-    /// it adds there.
-    double note_sent(const target_incarnation& id,
+    /// Records that \a work was sent to \a target. Returns the prefill tokens
+    /// that \a work adds at \a target.
+    double note_sent(const target_incarnation& target,
                      const generation_request& work, instant now);
 
-    /// Records that \a id has read a prompt: \a tokens are no longer queued.
-    void note_prompt_read(const target_incarnation& id, double tokens);
+    /// Records that \a target has read a prompt: \a tokens are no longer
+    /// queued.
+    void note_prompt_read(const target_incarnation& target, double tokens);
 
-    void note_ended(const target_incarnation& id);
+    void note_ended(const target_incarnation& target);
 
-    /// Records that \a id did not answer, or that it refused the request.
-    void note_failed(const target_incarnation& id, bool is_refusal,
+    /// Records that \a target did not answer, or that it refused the request.
+    void note_failed(const target_incarnation& target, bool is_refusal,
                      instant now);
 
-    void note_answered(const target_incarnation& id);
+    void note_answered(const target_incarnation& target);
 
-    /// Returns the tokens of \a work that \a id would have to prefill, by what
-    /// this entry has sent there.
-    double uncached_tokens(const target_incarnation& id,
+    /// Returns the tokens of \a work that \a target would have to prefill,
+    /// estimated from what this entry has sent to \a target.
+    double uncached_tokens(const target_incarnation& target,
                            const generation_request& work, instant now) const;
 
 private:
--- a/packages/decision/entry_roster.cpp
+++ b/packages/decision/entry_roster.cpp
@@ -20,7 +20,7 @@
 
 /// How often a batching entry is probed, and after how many probe intervals
 /// without an answer its work goes to another entry. With fewer, a busy entry
-/// is taken for a dead one; with more, requests miss their latency goals.
+/// counts as lost; with more, requests miss their latency goals.
 constexpr duration short_interval = std::chrono::milliseconds(100);
 constexpr int short_timeout_intervals = 5;
 
@@ -60,7 +60,7 @@
 /// entry refuses retries at any other entry. If so many entries stay up, few
 /// callers meet a second entry that refuses them; most callers have no retry
 /// left for that.
-constexpr double min_outlasting_share = 0.75;
+constexpr double min_remaining_share = 0.75;
 
 /// How many other entries are listed in an answer, and how many if the receiver
 /// knows less than half of them: 4 KB at most.
@@ -171,7 +171,7 @@
     const auto count = static_cast<std::size_t>(
         std::count_if(m_others.begin(), m_others.end(), outlasts));
     return static_cast<double>(count) >=
-           min_outlasting_share * static_cast<double>(size());
+           min_remaining_share * static_cast<double>(size());
 }
 
 void entry_roster::note_lost(const std::string& address)
--- a/packages/decision/prompt_affinity.hpp
+++ b/packages/decision/prompt_affinity.hpp
@@ -22,8 +22,8 @@
 };
 
 /// Prompt cache affinity: decides which engines should cache the segments that
-/// prompts share, so that all entries choose the same engines without talking
-/// to each other.
+/// prompts share, so that all entries choose the same engines without
+/// communicating.
 ///
 /// The engines of a segment are the first ones in an order that depends on the
 /// segment's id alone. Their number follows from the segment's share of the
--- a/packages/decision/quarantine.cpp
+++ b/packages/decision/quarantine.cpp
@@ -173,8 +173,8 @@
 }
 
 quarantine::verdict
-quarantine::judge(const digest& content, instant now,
-                  const std::function<ordinal()>& own_ordinal) const
+quarantine::evaluate(const digest& content, instant now,
+                     const std::function<ordinal()>& own_ordinal) const
 {
     if (m_crashes.is_empty() || was_served_recently(content, now))
         return {};
@@ -186,7 +186,7 @@
     if (found.incident_count() < max_incidents)
         return result;
     if (is_in_doubt(found))
-        return judge_in_doubt(content, found, now);
+        return evaluate_in_doubt(content, found, now);
     // By then the crashes that other entries saw on these targets are known.
     if (now < found.incidents[max_incidents - 1].crashed_at + quiet_time &&
         own_ordinal().count > 1)
@@ -223,9 +223,8 @@
 // served was refused by a whole service for a minute in this way. Only a run
 // apart from the suspects can show whether it is harmless; resends that arrive
 // meanwhile wait for the outcome of that run.
-quarantine::verdict quarantine::judge_in_doubt(const digest& content,
-                                               const crash_log::evidence& found,
-                                               instant now) const
+quarantine::verdict quarantine::evaluate_in_doubt(
+    const digest& content, const crash_log::evidence& found, instant now) const
 {
     verdict result{admission::held, found.incident_count(), trial_time};
     const crash_log::claim* first = leading_claim(found.claims, now);
--- a/packages/decision/quarantine.hpp
+++ b/packages/decision/quarantine.hpp
@@ -67,8 +67,8 @@
     /// Decides how to handle a request of \a content now. \a own_ordinal
     /// returns the position of this entry among the live entries; it is only
     /// called where the decision depends on it.
-    verdict judge(const digest& content, instant now,
-                  const std::function<ordinal()>& own_ordinal) const;
+    verdict evaluate(const digest& content, instant now,
+                     const std::function<ordinal()>& own_ordinal) const;
 
     /// Sets the name under which the other entries know this entry.
     void set_own_name(std::string name) { m_own_name = std::move(name); }
@@ -109,8 +109,9 @@
 
 private:
     bool is_in_doubt(const crash_log::evidence& found) const;
-    verdict judge_in_doubt(const digest& content,
-                           const crash_log::evidence& found, instant now) const;
+    verdict evaluate_in_doubt(const digest& content,
+                              const crash_log::evidence& found,
+                              instant now) const;
     bool has_trial(const digest& content, const crash_log::evidence& found,
                    instant now) const;
     bool was_served_recently(const digest& content, instant now) const;
--- a/packages/decision/sending_record.hpp
+++ b/packages/decision/sending_record.hpp
@@ -32,8 +32,8 @@
     std::uint32_t sends() const { return m_possible_runs + m_refusals; }
 
 private:
-    /// The most refused sends per request. A refusal costs the target time
-    /// although nothing runs.
+    /// The maximum number of refused sends per request. A refusal costs the
+    /// target time although nothing runs.
     static constexpr std::uint32_t max_refused_sends = 3;
 
     bool m_is_repeatable;
--- a/packages/decision/stage_job.hpp
+++ b/packages/decision/stage_job.hpp
@@ -22,7 +22,7 @@
 };
 
 /// The pieces of one stage of one request. Any target of the stage's service
-/// can make them.
+/// can execute them.
 struct stage_job
 {
     std::uint64_t number = 0; ///< Assigned by the entry that plans the calls.
@@ -64,7 +64,7 @@
     completed,  ///< All results are available.
     expired,    ///< The job expired before it was done.
     input_lost, ///< An input no longer exists.
-    failed      ///< No target could make the pieces.
+    failed      ///< No target could execute the pieces.
 };
 
 } // namespace mangofold::decision
--- a/packages/decision/target_gate.hpp
+++ b/packages/decision/target_gate.hpp
@@ -67,9 +67,9 @@
     std::uint64_t generation = 0;
     std::vector<std::string> pool_targets;
     std::size_t slots = 1;
-    class_limits shares;
-    /// Longest time from the first sending of a request to the start of a
-    /// run of the same request.
+    class_limits queue_limits;
+    /// Maximum time from the first send of a request to the start of a run of
+    /// the same request.
     duration start_horizon{};
     /// Time within which every process adopts a new manifest.
     duration adoption_bound{};
@@ -116,7 +116,7 @@
 
     /// Returns a ticket, or nothing if the target is leaving or not
     /// configured.
-    std::optional<ticket> mint_ticket(instant now);
+    std::optional<ticket> issue_ticket(instant now);
 
     /// Admits, answers or refuses \a work.
     gate_effects submit(const submission& work, instant now);
--- a/packages/decision/target_gate.ipp
+++ b/packages/decision/target_gate.ipp
@@ -24,7 +24,7 @@
         return {};
     m_configuration = value;
     m_limit.set_slots(value.slots);
-    m_queue.set_class_limits(value.shares);
+    m_queue.set_class_limits(value.queue_limits);
     m_ledger.set_horizon(value.start_horizon);
     m_ownership.set_targets(value.pool_targets, now);
     return advance(now);
@@ -40,11 +40,11 @@
 }
 
 template<concurrency_policy Limit, safeguard_set Safeguards>
-std::optional<ticket> target_gate<Limit, Safeguards>::mint_ticket(instant now)
+std::optional<ticket> target_gate<Limit, Safeguards>::issue_ticket(instant now)
 {
     if (is_leaving(now) || m_configuration.generation == 0)
         return std::nullopt;
-    return ticket{m_self.target, m_self.incarnation, m_tickets.mint(now)};
+    return ticket{m_self.target, m_self.incarnation, m_tickets.issue(now)};
 }
 
 // The order matters. Time first, so that a process that resumes after a pause
--- a/packages/decision/target_health.cpp
+++ b/packages/decision/target_health.cpp
@@ -141,7 +141,7 @@
 
 double target_health::expected_ns(const listed_target& target,
                                   const std::string& zone, instant now,
-                                  bool may_try) const
+                                  bool may_probe) const
 {
     stats observed;
     const auto found = m_stats.find(target.incarnation);
@@ -149,7 +149,7 @@
         observed = found->second;
     // A slow or failing target gets no requests while others do better, so
     // without the decay its averages would never be updated.
-    if (may_try)
+    if (may_probe)
         decay(observed);
     const double latency =
         observed.latency_ns > 0 ? observed.latency_ns : mean_latency_ns();
@@ -166,7 +166,7 @@
 const listed_target*
 target_health::choose(const std::vector<const listed_target*>& candidates,
                       const std::set<target_incarnation>& tried,
-                      const std::string& zone, instant now, bool may_try)
+                      const std::string& zone, instant now, bool may_probe)
 {
     const listed_target* best = nullptr;
     double best_expected = 0;
@@ -174,7 +174,7 @@
     {
         if (tried.contains(candidate->incarnation))
             continue;
-        const double expected = expected_ns(*candidate, zone, now, may_try) *
+        const double expected = expected_ns(*candidate, zone, now, may_probe) *
                                 (1 + jitter * m_random.fraction());
         if (best != nullptr && expected >= best_expected)
             continue;
--- a/packages/decision/target_health.hpp
+++ b/packages/decision/target_health.hpp
@@ -44,12 +44,12 @@
 
     /// Returns the target among \a candidates with the lowest expected latency
     /// for a caller in \a zone, or nothing if all of them are in \a tried.
-    /// \a may_try allows targets that did badly a while ago: a request that may
-    /// be repeated loses little if they still do.
+    /// \a may_probe allows targets that failed or were slow a while ago: a
+    /// request that may be repeated loses little if they still fail.
     const listed_target*
     choose(const std::vector<const listed_target*>& candidates,
            const std::set<target_incarnation>& tried, const std::string& zone,
-           instant now, bool may_try = true);
+           instant now, bool may_probe = true);
 
     std::uint32_t in_flight(const target_incarnation& target) const;
 
@@ -73,7 +73,7 @@
     };
 
     double expected_ns(const listed_target& target, const std::string& zone,
-                       instant now, bool may_try) const;
+                       instant now, bool may_probe) const;
     double mean_latency_ns() const;
     /// Returns the weight of the averages in \a observed, which decays from 1
     /// to 0.
--- a/packages/decision/ticket_issuer.cpp
+++ b/packages/decision/ticket_issuer.cpp
@@ -6,17 +6,18 @@
 namespace
 {
 
-constexpr duration mark_interval = std::chrono::seconds(1);
-constexpr std::size_t max_marks = 3600;
+constexpr duration issue_time_interval = std::chrono::seconds(1);
+constexpr std::size_t max_issue_times = 3600;
 
 } // namespace
 
-std::uint64_t ticket_issuer::mint(instant now)
+std::uint64_t ticket_issuer::issue(instant now)
 {
-    if (m_marks.empty() || m_marks.back().at + mark_interval <= now)
-        m_marks.push_back({m_next_serial, now});
-    if (m_marks.size() > max_marks)
-        m_marks.pop_front();
+    if (m_issue_times.empty() ||
+        m_issue_times.back().at + issue_time_interval <= now)
+        m_issue_times.push_back({m_next_serial, now});
+    if (m_issue_times.size() > max_issue_times)
+        m_issue_times.pop_front();
     return m_next_serial++;
 }
 
@@ -25,10 +26,11 @@
 {
     if (serial >= m_next_serial)
         return false;
-    for (auto each = m_marks.rbegin(); each != m_marks.rend(); ++each)
+    for (auto issued = m_issue_times.rbegin(); issued != m_issue_times.rend();
+         ++issued)
     {
-        if (each->first_serial <= serial)
-            return now < each->at + horizon;
+        if (issued->first_serial <= serial)
+            return now < issued->at + horizon;
     }
     return false;
 }
--- a/packages/decision/ticket_issuer.hpp
+++ b/packages/decision/ticket_issuer.hpp
@@ -28,22 +28,22 @@
 {
 public:
     /// Returns the serial number of a new ticket.
-    std::uint64_t mint(instant now);
+    std::uint64_t issue(instant now);
 
     /// Whether \a serial was issued here less than \a horizon ago. The age is
     /// rounded up by at most a second.
     bool is_recent(std::uint64_t serial, instant now, duration horizon) const;
 
 private:
-    /// The first serial that was issued at or after a time.
-    struct mark
+    /// The first serial number that was issued at or after \c at.
+    struct issue_time
     {
         std::uint64_t first_serial;
         instant at;
     };
 
     std::uint64_t m_next_serial = 1;
-    std::deque<mark> m_marks; ///< At most one a second.
+    std::deque<issue_time> m_issue_times; ///< At most one a second.
 };
 
 } // namespace mangofold::decision
--- a/packages/entry/content_guard.cpp
+++ b/packages/entry/content_guard.cpp
@@ -23,11 +23,11 @@
 {
     using admission = quarantine::admission;
     constexpr decision::duration poll_interval = std::chrono::milliseconds(10);
-    quarantine::verdict verdict = judge(content);
+    quarantine::verdict verdict = evaluate(content);
     while (verdict.outcome == admission::held && m_clock.now() < deadline)
     {
         replies.take(poll_interval);
-        verdict = judge(content);
+        verdict = evaluate(content);
     }
     if (verdict.outcome != admission::refused &&
         verdict.outcome != admission::held)
@@ -36,12 +36,12 @@
     return verdict.retry_after;
 }
 
-quarantine::verdict content_guard::judge(const decision::digest& content)
+quarantine::verdict content_guard::evaluate(const decision::digest& content)
 {
     const std::lock_guard lock(m_mutex);
     const decision::instant now = m_clock.now();
     const quarantine::verdict verdict =
-        m_quarantine.judge(content, now, m_own_ordinal);
+        m_quarantine.evaluate(content, now, m_own_ordinal);
     if (verdict.outcome == quarantine::admission::held)
         m_quarantine.note_waiting(content, now);
     if (verdict.outcome == quarantine::admission::trial)
@@ -78,8 +78,8 @@
 
 // Sidecars report the crashes that they remember again whenever a link opens.
 // A crash that was not held against a request, because the request had just
-// been served, must stay ignored: judged again after that record has expired,
-// it would count against the request and get it refused.
+// been served, must stay ignored: evaluated again after that record has
+// expired, it would count against the request and get it refused.
 void content_guard::ignore(const crash_key& key)
 {
     constexpr std::size_t max_ignored = 4096; // About 100 bytes each.
--- a/packages/entry/content_guard.hpp
+++ b/packages/entry/content_guard.hpp
@@ -49,7 +49,7 @@
 private:
     using crash_key = std::pair<decision::digest, decision::target_incarnation>;
 
-    decision::quarantine::verdict judge(const decision::digest& content);
+    decision::quarantine::verdict evaluate(const decision::digest& content);
     void ignore(const crash_key& key);
     void expire(decision::instant now);
 
--- a/packages/entry/sidecar_link.cpp
+++ b/packages/entry/sidecar_link.cpp
@@ -15,7 +15,7 @@
 constexpr decision::duration min_reopen_delay = std::chrono::milliseconds(20);
 constexpr decision::duration max_reopen_delay = std::chrono::seconds(1);
 // A sidecar sends a grant at least once a second. A sidecar that sends nothing
-// for longer is paused, dead or disconnected.
+// for longer is paused, has crashed or is disconnected.
 constexpr decision::duration silence_timeout = std::chrono::milliseconds(2200);
 
 } // namespace
--- a/packages/serving/caller_session.cpp
+++ b/packages/serving/caller_session.cpp
@@ -266,7 +266,8 @@
 
 void caller_session::reset_connection()
 {
-    error_code ignored; // Closing a dead socket may fail; it is gone anyway.
+    error_code
+        ignored; // Closing a broken socket may fail; the error does not matter.
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
     m_socket.close(ignored);
     m_closes_after_response = true;
--- a/packages/serving/dialect.hpp
+++ b/packages/serving/dialect.hpp
@@ -57,7 +57,7 @@
     virtual http_request
     make_release_request(const std::vector<std::string>& handles) const = 0;
 
-    /// Returns the address of the target that made the result \a handle,
+    /// Returns the address of the target that produced the result \a handle,
     /// "IP:port".
     virtual std::string producer_address(const std::string& handle) const = 0;
 };
--- a/packages/serving/exchange.cpp
+++ b/packages/serving/exchange.cpp
@@ -187,7 +187,7 @@
     m_context.cold_targets.note_sent(target, m_context.warm_up_of(m_service),
                                      m_context.fleet_size(), m_context.now());
     if (is_engine_service())
-        m_tokens_ahead = m_context.engines.note_sent(
+        m_prefill_tokens = m_context.engines.note_sent(
             target, make_generation_request(), m_context.now());
     else
         m_context.target_health.note_sent(target);
@@ -202,7 +202,7 @@
     if (!is_engine_service())
         return;
     if (!m_is_prompt_read)
-        m_context.engines.note_prompt_read(target, m_tokens_ahead);
+        m_context.engines.note_prompt_read(target, m_prefill_tokens);
     m_context.engines.note_ended(target);
 }
 
@@ -253,10 +253,10 @@
     forwarded_request.target(m_request.target());
     forwarded_request.body() = m_request.body();
     record_attempt_start(id);
-    const instant began = m_context.now();
-    m_sent_at = began;
+    const instant sent_at = m_context.now();
+    m_sent_at = sent_at;
     if (!is_retry)
-        m_context.times_by_route[m_route->name].time_to_send.add(began -
+        m_context.times_by_route[m_route->name].time_to_send.add(sent_at -
                                                                  m_started_at);
     const auto send_result = co_await m_call->send_request(
         forwarded_request, m_metadata.id, attempt_timeout());
@@ -280,7 +280,7 @@
     {
         outcome = co_await relay_answer(*m_call);
         if (!is_engine_service() && !m_is_outcome_recorded)
-            m_context.target_health.note_answered(id, m_context.now() - began,
+            m_context.target_health.note_answered(id, m_context.now() - sent_at,
                                                   m_call->head().result_int() >=
                                                       500);
     }
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -61,7 +61,8 @@
     exchange(const exchange&) = delete;
     exchange& operator=(const exchange&) = delete;
 
-    /// Handles the request until its answer is sent or the caller has left.
+    /// Handles the request until its answer is sent or the caller has
+    /// disconnected.
     awaitable<void> run();
 
 private:
@@ -163,7 +164,7 @@
     std::optional<instant> m_cold_retry_at;
     std::unique_ptr<stage_runner> m_stages;
     std::shared_ptr<target_call> m_call;
-    std::optional<std::uint64_t> m_last_event;
+    std::optional<std::uint64_t> m_last_event_id; ///< Of the relayed events.
     bool m_is_head_sent = false;
     /// Milliseconds from the start of the request to the end of each stage.
     std::string m_stage_times;
@@ -172,7 +173,8 @@
     bool m_is_prompt_read = false; ///< By the engine, in the newest attempt.
     /// Whether the outcome of the newest attempt is already recorded.
     bool m_is_outcome_recorded = false;
-    double m_tokens_ahead = 0;
+    /// Prefill tokens that the newest attempt added at its engine.
+    double m_prefill_tokens = 0;
     decision::target_incarnation m_last_target;
     instant m_sent_at{};          ///< Of the newest attempt.
     instant m_stages_done_at{};   ///< When the stages ended.
--- a/packages/serving/exchange_answers.cpp
+++ b/packages/serving/exchange_answers.cpp
@@ -116,8 +116,8 @@
 awaitable<exchange::attempt_outcome>
 exchange::relay_event_stream(target_call& call)
 {
-    event_stream events(m_last_event);
-    if (!m_last_event && !m_metadata.last_event_id.empty())
+    event_stream events(m_last_event_id);
+    if (!m_last_event_id && !m_metadata.last_event_id.empty())
     {
         std::uint64_t last = 0;
         const std::string& text = m_metadata.last_event_id;
@@ -144,14 +144,14 @@
                 if (m_first_byte_at == instant{})
                     m_first_byte_at = m_context.now();
                 m_context.engines.note_prompt_read(call.target().incarnation,
-                                                   m_tokens_ahead);
+                                                   m_prefill_tokens);
                 m_context.engines.note_answered(call.target().incarnation);
                 m_context.times_by_route[m_route->name].time_to_first_event.add(
                     m_context.now() - m_sent_at);
                 if (m_stages)
                     m_stages->release();
             }
-            m_last_event = events.last_id();
+            m_last_event_id = events.last_id();
             if (!co_await send_events(call, std::move(complete_events)))
             {
                 call.abort();
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -40,7 +40,7 @@
             m_verdict.incidents)
         return;
     const instant now = m_context.now();
-    m_verdict = known.judge(
+    m_verdict = known.evaluate(
         content_digest(), now,
         [this] { return m_context.ordinal_for(to_text(content_digest())); });
     m_is_trial = m_verdict.outcome == decision::quarantine::admission::trial;
--- a/packages/serving/exchange_refusals.cpp
+++ b/packages/serving/exchange_refusals.cpp
@@ -151,7 +151,7 @@
         .with("target", target.id)
         .with("born", target.started_ms)
         .with("after_ms", whole_milliseconds(m_context.now() - m_sent_at))
-        .with("has_events", m_last_event ? 1 : 0)
+        .with("has_events", m_last_event_id ? 1 : 0)
         .with("sends", m_sends->sends())
         .warn();
 }
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -109,8 +109,8 @@
     if (!m_route->stages.empty() && !m_metadata.pieces.empty())
         metadata.inputs =
             m_stages ? m_stages->results() : std::vector<std::string>();
-    if (m_last_event)
-        metadata.last_event_id = std::to_string(*m_last_event);
+    if (m_last_event_id)
+        metadata.last_event_id = std::to_string(*m_last_event_id);
     return metadata;
 }
 
--- a/packages/serving/message_metadata.hpp
+++ b/packages/serving/message_metadata.hpp
@@ -109,7 +109,7 @@
     };
 
     status_code status = status_code::failed;
-    std::string handle; ///< Of the result, if it was made.
+    std::string handle; ///< Of the result; empty if there is none.
 
     friend bool operator==(const piece_result&, const piece_result&) = default;
 };
--- a/packages/serving/peer_link.hpp
+++ b/packages/serving/peer_link.hpp
@@ -82,7 +82,7 @@
     /// connection is lost first, the job goes to the listener.
     void submit(const std::string& service, decision::stage_job job,
                 pending_job_ptr pending);
-    /// Releases results that the other entry had made for this one.
+    /// Releases results that the other entry had targets produce for this one.
     void release(const std::string& service,
                  const std::vector<std::string>& handles);
 
--- a/packages/serving/peer_server.hpp
+++ b/packages/serving/peer_server.hpp
@@ -21,8 +21,8 @@
     /// Receives the address at which a connected entry can be reached.
     using hello_handler = std::function<void(const std::string& address)>;
     using catalog_source = std::function<std::shared_ptr<const std::string>()>;
-    /// Returns the state of this entry, for an entry that
-    /// knows \a known_entries of the entries.
+    /// Returns the state of this entry, for an entry that knows
+    /// \a known_entries of the entries.
     using holding_source =
         std::function<peer::Holding(std::size_t known_entries)>;
 
@@ -44,7 +44,7 @@
 
 private:
     /// The jobs that a connected entry has submitted, by the numbers that it
-    /// gave them. True while the job is still wanted.
+    /// gave them. The value is true while the job is still wanted.
     using wanted_jobs = std::map<std::uint64_t, std::shared_ptr<bool>>;
 
     /// One connected entry.
--- a/packages/serving/piece_batcher.cpp
+++ b/packages/serving/piece_batcher.cpp
@@ -171,7 +171,7 @@
         handle_lost_call(queue, plan);
         co_return;
     }
-    const instant began = m_context.now();
+    const instant started_at = m_context.now();
     const auto sent_call = std::make_shared<target_call>(
         m_context.connection_pool, m_context.protocol,
         call_destination{target->incarnation,
@@ -192,7 +192,7 @@
     if (state == target_call::outcome::ok &&
         sent_call->head().result_int() == ok)
     {
-        queue.planner.note_call_answered(plan, now - began, now);
+        queue.planner.note_call_answered(plan, now - started_at, now);
         record_target_alive(m_context, plan.target, sent_call->opened_at());
         try
         {
@@ -220,7 +220,7 @@
         m_context.count("calls_failed", "why", is_full ? "full" : "lost");
         if (state == target_call::outcome::connection_lost)
         {
-            note_target_crashes(queue, plan, began);
+            note_target_crashes(queue, plan, started_at);
             queue.planner.note_suspected_crash(plan);
         }
         if (!is_full && !is_unsent)
@@ -228,7 +228,7 @@
                 .with("service", service)
                 .with("target", plan.target.id)
                 .with("pieces", plan.pieces.size())
-                .with("after_ms", whole_milliseconds(now - began))
+                .with("after_ms", whole_milliseconds(now - started_at))
                 .warn();
         is_full ? requeue(queue, plan) : handle_lost_call(queue, plan);
         is_full ? sent_call->release_connection() : sent_call->abort();
--- a/packages/serving/piece_batcher.hpp
+++ b/packages/serving/piece_batcher.hpp
@@ -125,7 +125,8 @@
     static void handle_lost_call(service_queue& queue,
                                  const decision::planned_call& plan);
     void note_target_crashes(const service_queue& queue,
-                             const decision::planned_call& plan, instant began);
+                             const decision::planned_call& plan,
+                             instant started_at);
     static void requeue(service_queue& queue,
                         const decision::planned_call& plan);
     void end_job(const std::string& service, service_queue& queue,
--- a/packages/serving/piece_batcher_results.cpp
+++ b/packages/serving/piece_batcher_results.cpp
@@ -29,8 +29,8 @@
         switch (results[index].status)
         {
         case piece_result::status_code::succeeded:
-            queue.planner.note_piece_made(ref, plan.target,
-                                          results[index].handle, now);
+            queue.planner.note_piece_completed(ref, plan.target,
+                                               results[index].handle, now);
             if (queue.planner.find(ref.job) == nullptr)
                 queue_release(queue, results[index].handle);
             break;
@@ -85,7 +85,7 @@
 
 void piece_batcher::note_target_crashes(const service_queue& queue,
                                         const decision::planned_call& plan,
-                                        instant began)
+                                        instant started_at)
 {
     std::uint64_t last_job = 0;
     for (const decision::piece_ref& ref : plan.pieces)
@@ -95,7 +95,7 @@
             continue;
         record_target_crash(
             m_context,
-            {job->content, plan.target, began, m_context.now(), false},
+            {job->content, plan.target, started_at, m_context.now(), false},
             job->request);
     }
 }
@@ -176,14 +176,14 @@
 
 void piece_batcher::summarize(const std::string& service, service_queue& queue)
 {
-    if (queue.calls == 0 && queue.planner.waiting_jobs() == 0)
+    if (queue.calls == 0 && queue.planner.job_count() == 0)
         return;
     const instant now = m_context.now();
     runtime::event("service_gathered")
         .with("service", service)
         .with("calls", queue.calls)
         .with("pieces", queue.pieces)
-        .with("waiting_jobs", queue.planner.waiting_jobs())
+        .with("waiting_jobs", queue.planner.job_count())
         .with("waiting_pieces", queue.planner.waiting_pieces())
         .with("wait_ms",
               static_cast<std::uint64_t>(
--- a/packages/serving/source_reader.cpp
+++ b/packages/serving/source_reader.cpp
@@ -86,8 +86,9 @@
 // An answer that arrives steadily is never aborted, whatever its size: a
 // repeated request would not complete sooner and would double the load of the
 // link.
-awaitable<target_call::outcome>
-source_reader::read_body(target_call& call, instant began, duration time_limit)
+awaitable<target_call::outcome> source_reader::read_body(target_call& call,
+                                                         instant started_at,
+                                                         duration time_limit)
 {
     auto result = target_call::outcome::ok;
     while (result == target_call::outcome::ok && !call.is_complete())
@@ -95,7 +96,7 @@
         const duration extension =
             std::chrono::duration_cast<duration>(std::chrono::duration<double>(
                 static_cast<double>(call.received_bytes()) / min_rate));
-        const instant end = began + time_limit + extension;
+        const instant end = started_at + time_limit + extension;
         const std::size_t before = call.received_bytes();
         const duration left = time_until(end, m_context.now());
         result =
@@ -115,10 +116,10 @@
         m_context.connection_pool, m_context.protocol,
         call_destination{"source", m_context.settings.source_address});
     m_current_call = sent;
-    const instant began = m_context.now();
+    const instant started_at = m_context.now();
     auto result = co_await sent->send_request(request, {}, time_limit);
     if (result == target_call::outcome::ok)
-        result = co_await read_body(*sent, began, time_limit);
+        result = co_await read_body(*sent, started_at, time_limit);
     m_received_at.reset();
     m_last_status = 0;
     if (result != target_call::outcome::ok)
@@ -127,7 +128,8 @@
         if (received > 0)
             runtime::event("source_answer_cut")
                 .with("received_bytes", received)
-                .with("after_ms", whole_milliseconds(m_context.now() - began))
+                .with("after_ms",
+                      whole_milliseconds(m_context.now() - started_at))
                 .warn();
         sent->abort();
         co_return std::nullopt;
@@ -257,11 +259,11 @@
     const duration wait = decision::source_polling::watch_timeout(
         m_context.settings.max_configuration_delay,
         m_context.responding_entries, m_context.random.fraction());
-    m_watch_began = m_context.now();
+    m_watch_started_at = m_context.now();
     unsigned status = 0;
     const auto body = co_await fetch(m_dialect.watch_request(m_revision, wait),
                                      wait + watch_slack, status);
-    m_watch_began.reset();
+    m_watch_started_at.reset();
     if (std::exchange(m_is_watch_aborted, false))
         co_return true;
     if (body && status == gone)
@@ -304,9 +306,9 @@
         m_context.settings.max_configuration_delay,
         m_context.responding_entries);
     // A watch whose answer is arriving no longer waits.
-    if (!m_watch_began || m_is_watch_aborted ||
+    if (!m_watch_started_at || m_is_watch_aborted ||
         m_current_call->received_bytes() > 0 ||
-        m_context.now() <= *m_watch_began + longest + watch_slack)
+        m_context.now() <= *m_watch_started_at + longest + watch_slack)
         return;
     m_is_watch_aborted = true;
     m_current_call->abort();
--- a/packages/serving/source_reader.hpp
+++ b/packages/serving/source_reader.hpp
@@ -46,8 +46,8 @@
 private:
     awaitable<std::optional<std::string>>
     fetch(http_request request, duration time_limit, unsigned& status);
-    awaitable<target_call::outcome> read_body(target_call& call, instant began,
-                                              duration time_limit);
+    awaitable<target_call::outcome>
+    read_body(target_call& call, instant started_at, duration time_limit);
     awaitable<bool> read_declarations();
     awaitable<bool> read_page();
     awaitable<bool> read_step();
@@ -86,7 +86,7 @@
     std::uint32_t m_failures = 0;
     unsigned m_last_status = 0;                  ///< 0 if there was no answer.
     std::shared_ptr<target_call> m_current_call; ///< The last request.
-    std::optional<instant> m_watch_began; ///< Start of the current watch.
+    std::optional<instant> m_watch_started_at;   ///< The current watch.
     bool m_is_watch_aborted = false; ///< end_long_watch() aborted the watch.
 };
 
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -41,7 +41,7 @@
                         return m_states.at(input).status == stage_status::done;
                     });
     // A stage beside a longer chain waits until the rest of that chain is as
-    // short as its own: results made earlier would only take up memory.
+    // short as its own: results produced earlier would only take up memory.
     return has_inputs &&
            longest_path_from(index).size() >= longest_remaining_path();
 }
@@ -248,7 +248,7 @@
     }
 }
 
-std::string stage_runner::completion_times(instant began) const
+std::string stage_runner::completion_times(instant started_at) const
 {
     std::string text;
     for (const stage_state& state : m_states)
@@ -257,7 +257,7 @@
             continue;
         if (!text.empty())
             text += ' ';
-        text += std::to_string(whole_milliseconds(state.done_at - began));
+        text += std::to_string(whole_milliseconds(state.done_at - started_at));
     }
     return text;
 }
--- a/packages/serving/stage_runner.hpp
+++ b/packages/serving/stage_runner.hpp
@@ -33,8 +33,8 @@
     void abort();
 
     /// Returns the times at which the stages were done, in milliseconds after
-    /// \a began, separated by spaces.
-    std::string completion_times(instant began) const;
+    /// \a started_at, separated by spaces.
+    std::string completion_times(instant started_at) const;
 
     /// Whether a stage was started although the request would miss its
     /// deadline.
--- a/packages/serving/target_connection_pool.cpp
+++ b/packages/serving/target_connection_pool.cpp
@@ -6,9 +6,9 @@
 {
 
 connection_ptr
-target_connection_pool::take_idle(const decision::target_incarnation& id)
+target_connection_pool::take_idle(const decision::target_incarnation& target)
 {
-    const auto found = m_idle.find(id);
+    const auto found = m_idle.find(target);
     if (found == m_idle.end())
         return nullptr;
     std::vector<connection_ptr>& idle = found->second;
@@ -25,12 +25,12 @@
     return nullptr;
 }
 
-void target_connection_pool::put_back(const decision::target_incarnation& id,
-                                      connection_ptr connection,
-                                      duration idle_time)
+void target_connection_pool::put_back(
+    const decision::target_incarnation& target, connection_ptr connection,
+    duration idle_time)
 {
     connection->usable_until = m_clock.now() + idle_time;
-    m_idle[id].push_back(std::move(connection));
+    m_idle[target].push_back(std::move(connection));
 }
 
 void target_connection_pool::close_expired()
--- a/packages/serving/target_connection_pool.hpp
+++ b/packages/serving/target_connection_pool.hpp
@@ -20,8 +20,8 @@
     {
     }
 
-    /// Returns an idle connection to the target \a id, or nothing.
-    connection_ptr take_idle(const decision::target_incarnation& id);
+    /// Returns an idle connection to \a target, or nothing.
+    connection_ptr take_idle(const decision::target_incarnation& target);
 
     /// Returns a new connection that is not open yet.
     connection_ptr create() const
@@ -32,13 +32,13 @@
     }
 
     /// Keeps \a connection for reuse within \a idle_time.
-    void put_back(const decision::target_incarnation& id,
+    void put_back(const decision::target_incarnation& target,
                   connection_ptr connection, duration idle_time);
 
-    /// Closes the idle connections to the target \a id.
-    void close_idle(const decision::target_incarnation& id)
+    /// Closes the idle connections to \a target.
+    void close_idle(const decision::target_incarnation& target)
     {
-        m_idle.erase(id);
+        m_idle.erase(target);
     }
 
     /// Closes the connections whose idle time has ended.
--- a/packages/serving/zone_notices.cpp
+++ b/packages/serving/zone_notices.cpp
@@ -30,11 +30,11 @@
 } // namespace
 
 void apply_zone_evacuations(entry_context& context,
-                            const decision::zone_snapshot& words,
+                            const decision::zone_snapshot& received,
                             std::string_view from)
 {
     const std::set<std::string> before = context.evacuations.evacuated_zones();
-    if (!context.evacuations.merge(words))
+    if (!context.evacuations.merge(received))
         return;
     const std::set<std::string> after = context.evacuations.evacuated_zones();
     context.directory.set_evacuated_zones(after);
--- a/packages/sidecar/admission_controller.cpp
+++ b/packages/sidecar/admission_controller.cpp
@@ -56,7 +56,7 @@
         for (const manifest::target& target : pool.targets)
             gate_config.pool_targets.push_back(target.id);
         gate_config.slots = pool.slots;
-        gate_config.shares = pool.shares;
+        gate_config.queue_limits = pool.shares;
         gate_config.start_horizon = document.start_horizon();
         gate_config.adoption_bound = manifest::adoption_bound;
         const std::lock_guard lock(m_mutex);
@@ -75,10 +75,10 @@
             m_gate.is_leaving(m_clock.now()), m_gate.load()};
 }
 
-std::optional<ticket> admission_controller::mint_ticket()
+std::optional<ticket> admission_controller::issue_ticket()
 {
     const std::lock_guard lock(m_mutex);
-    return m_gate.mint_ticket(m_clock.now());
+    return m_gate.issue_ticket(m_clock.now());
 }
 
 void admission_controller::submit(const submission& work)
--- a/packages/sidecar/admission_controller.hpp
+++ b/packages/sidecar/admission_controller.hpp
@@ -49,7 +49,7 @@
 
     /// Returns a ticket, or nothing if the target is leaving or not
     /// configured.
-    std::optional<decision::ticket> mint_ticket();
+    std::optional<decision::ticket> issue_ticket();
 
     /// Admits, answers or refuses \a work.
     void submit(const decision::submission& work);
--- a/packages/sidecar/entry_stream.cpp
+++ b/packages/sidecar/entry_stream.cpp
@@ -75,7 +75,7 @@
     wire::SidecarMessage reply;
     wire::Minted& minted = *reply.mutable_minted();
     minted.set_number(message.number());
-    const auto ticket = m_owner.m_admission.mint_ticket();
+    const auto ticket = m_owner.m_admission.issue_ticket();
     minted.set_refused(!ticket.has_value());
     if (ticket)
     {
--- a/tests/decision/call_planner_test.cpp
+++ b/tests/decision/call_planner_test.cpp
@@ -46,11 +46,11 @@
 {
     planner.note_call_answered(call, call.expected_time, now);
     for (const piece_ref& piece : call.pieces)
-        planner.note_piece_made(piece, call.target,
-                                call.target.id + "/" +
-                                    std::to_string(piece.job) + "." +
-                                    std::to_string(piece.piece),
-                                now);
+        planner.note_piece_completed(piece, call.target,
+                                     call.target.id + "/" +
+                                         std::to_string(piece.job) + "." +
+                                         std::to_string(piece.piece),
+                                     now);
 }
 
 } // namespace
@@ -86,7 +86,7 @@
 
 // Guards against moving megabytes of results across zones although targets of
 // the preferred zone are idle: jobs for zone b arrive one by one while the
-// first free target is in zone a, and all of them are made there.
+// first free target is in zone a, and all of them are executed there.
 TEST_CASE("a job waits briefly for a target of its own zone")
 {
     call_planner planner(profile());
@@ -161,7 +161,7 @@
     REQUIRE(done.size() == 1);
     CHECK(done[0].handles ==
           std::vector<std::string>{"t0/1.0", "t0/1.1", "t0/1.2"});
-    CHECK(planner.waiting_jobs() == 0);
+    CHECK(planner.job_count() == 0);
 }
 
 // Guards against calls whose results the target cannot store: results fill the
@@ -344,7 +344,7 @@
     CHECK(planner.next_call(start)->pieces[0].job == 1);
 }
 
-TEST_CASE("pieces of a cancelled job are not made")
+TEST_CASE("pieces of a cancelled job are not executed")
 {
     call_planner planner = make_planner(1);
     planner.add(make_job(1, 3, 1s));
@@ -356,7 +356,7 @@
 // Guards against requests that fail at the last step because a result is gone:
 // a target makes a piece and crashes, restarts under the same id and is listed
 // as before, and the planner assumes that it still has the result.
-TEST_CASE("results of a target that restarted are made again")
+TEST_CASE("results of a target that restarted are produced again")
 {
     call_planner planner(profile());
     planner.set_targets({{{"t0", 100}, "a"}});
@@ -375,7 +375,7 @@
 }
 
 // A draining target keeps its results until it exits.
-TEST_CASE("results of a target that is no longer listed are not made again")
+TEST_CASE("results of a target that is no longer listed are not produced again")
 {
     call_planner planner(profile());
     planner.set_targets({{{"t0", 100}, "a"}, {{"t1", 100}, "a"}});
--- a/tests/decision/execution_ledger_test.cpp
+++ b/tests/decision/execution_ledger_test.cpp
@@ -54,7 +54,7 @@
 {
     TEST_CASE("a refused resend of a started request may have run")
     {
-        // The first sending runs in part, then the caller resends. The
+        // The first send runs in part, then the caller resends. The
         // resend is refused for lack of time, but must not be reported as
         // "not run", because stages of the request ran.
         recent_requests recent(2);
--- a/tests/decision/quarantine_mixed_world.hpp
+++ b/tests/decision/quarantine_mixed_world.hpp
@@ -194,7 +194,7 @@
         {
             const ordinal own{pending.entry, m_entries.size()};
             const auto verdict =
-                guard.judge(pending.content, m_now, [&own] { return own; });
+                guard.evaluate(pending.content, m_now, [&own] { return own; });
             if (verdict.outcome == admission::refused)
             {
                 refuse(pending);
--- a/tests/decision/quarantine_test.cpp
+++ b/tests/decision/quarantine_test.cpp
@@ -71,28 +71,28 @@
         guard.note_crash(
             crash_after(number * 1s, own, "t" + std::to_string(number)),
             start + number * 1s);
-    CHECK(guard.judge(own, start + 6s, only_entry).outcome ==
+    CHECK(guard.evaluate(own, start + 6s, only_entry).outcome ==
           admission::refused);
-    CHECK(guard.judge(others, start + 6s, only_entry).outcome ==
+    CHECK(guard.evaluate(others, start + 6s, only_entry).outcome ==
           admission::unrestricted);
 }
 
 TEST_CASE("the third incident of a request keeps it from all targets")
 {
     quarantine guard;
-    CHECK(guard.judge(poison, start, only_entry).outcome ==
+    CHECK(guard.evaluate(poison, start, only_entry).outcome ==
           admission::unrestricted);
     guard.note_crash(crash_after(1s, poison, "t1"), start + 1s);
-    CHECK(guard.judge(poison, start + 1s, only_entry).outcome ==
+    CHECK(guard.evaluate(poison, start + 1s, only_entry).outcome ==
           admission::unrestricted);
     guard.note_crash(crash_after(2s, poison, "t2"), start + 2s);
-    CHECK(guard.judge(poison, start + 2s, only_entry).outcome ==
+    CHECK(guard.evaluate(poison, start + 2s, only_entry).outcome ==
           admission::isolated);
     guard.note_crash(crash_after(3s, poison, "t3"), start + 3s);
-    const auto last = guard.judge(poison, start + 13s, only_entry);
+    const auto last = guard.evaluate(poison, start + 13s, only_entry);
     CHECK(last.outcome == admission::refused);
     CHECK(last.retry_after == 50s);
-    CHECK(guard.judge(harmless, start + 13s, only_entry).outcome ==
+    CHECK(guard.evaluate(harmless, start + 13s, only_entry).outcome ==
           admission::unrestricted);
 }
 
@@ -107,7 +107,7 @@
                                      "t" + std::to_string(number), 5s),
                          start + 2s);
     CHECK(guard.crashes().evidence_against(harmless).incident_count() == 1);
-    CHECK(guard.judge(harmless, start + 2s, only_entry).outcome ==
+    CHECK(guard.evaluate(harmless, start + 2s, only_entry).outcome ==
           admission::unrestricted);
 }
 
@@ -123,7 +123,7 @@
                                      "t" + std::to_string(number)),
                          start + number * 1s + 900ms);
     }
-    CHECK(guard.judge(harmless, start + 51s, only_entry).outcome ==
+    CHECK(guard.evaluate(harmless, start + 51s, only_entry).outcome ==
           admission::unrestricted);
     CHECK(guard.crashes().is_empty());
 }
@@ -132,11 +132,11 @@
 {
     quarantine guard = quarantine_with_three_incidents();
     CHECK(guard.note_served(poison, start + 4s) == 3);
-    CHECK(guard.judge(poison, start + 20s, only_entry).outcome ==
+    CHECK(guard.evaluate(poison, start + 20s, only_entry).outcome ==
           admission::unrestricted);
     // The next crash starts a new count.
     guard.note_crash(crash_after(30s, poison, "t9"), start + 30s);
-    CHECK(guard.judge(poison, start + 30s, only_entry).incidents == 1);
+    CHECK(guard.evaluate(poison, start + 30s, only_entry).incidents == 1);
 }
 
 // Guards against blaming requests that were sent to a target after its crash.
@@ -174,27 +174,27 @@
     const auto ordinal_at = [](std::size_t index) {
         return [index] { return ordinal{index, 3}; };
     };
-    CHECK(guard.judge(poison, refused_until - 1ms, ordinal_at(0)).outcome ==
+    CHECK(guard.evaluate(poison, refused_until - 1ms, ordinal_at(0)).outcome ==
           admission::refused);
-    CHECK(guard.judge(poison, refused_until, ordinal_at(0)).outcome ==
+    CHECK(guard.evaluate(poison, refused_until, ordinal_at(0)).outcome ==
           admission::trial);
-    CHECK(guard.judge(poison, refused_until, ordinal_at(1)).outcome ==
+    CHECK(guard.evaluate(poison, refused_until, ordinal_at(1)).outcome ==
           admission::refused);
     // A trial started late in a turn could crash its target in the next turn.
-    CHECK(guard.judge(poison, refused_until + 6s, ordinal_at(0)).outcome ==
+    CHECK(guard.evaluate(poison, refused_until + 6s, ordinal_at(0)).outcome ==
           admission::refused);
-    CHECK(guard.judge(poison, refused_until + 11s, ordinal_at(1)).outcome ==
+    CHECK(guard.evaluate(poison, refused_until + 11s, ordinal_at(1)).outcome ==
           admission::trial);
-    CHECK(guard.judge(poison, refused_until + 31s, ordinal_at(0)).outcome ==
+    CHECK(guard.evaluate(poison, refused_until + 31s, ordinal_at(0)).outcome ==
           admission::trial);
 
     guard.note_sent(poison, {"t7", 1});
-    CHECK(guard.judge(poison, refused_until, ordinal_at(0)).outcome ==
+    CHECK(guard.evaluate(poison, refused_until, ordinal_at(0)).outcome ==
           admission::refused);
     guard.note_finished(poison, {"t7", 1});
 
     guard.note_crash(crash_after(63s, poison, "t7"), refused_until);
-    const auto again = guard.judge(poison, refused_until, ordinal_at(0));
+    const auto again = guard.evaluate(poison, refused_until, ordinal_at(0));
     CHECK(again.outcome == admission::refused);
     CHECK(again.retry_after == 120s);
 }
--- a/tests/decision/quarantine_world_test.cpp
+++ b/tests/decision/quarantine_world_test.cpp
@@ -85,7 +85,7 @@
             [this](const auto& checked)
             {
                 return checked->guard
-                           .judge(poison, m_now, [] { return ordinal(); })
+                           .evaluate(poison, m_now, [] { return ordinal(); })
                            .outcome != quarantine::admission::refused;
             }));
     }
@@ -148,7 +148,7 @@
         m_sent_at = m_now;
         const std::size_t entry_index = m_random() % m_entries.size();
         entry& own = *m_entries[entry_index];
-        const auto verdict = own.guard.judge(
+        const auto verdict = own.guard.evaluate(
             poison, m_now, [&] { return own.roster.ordinal_for("poison"); });
         if (verdict.outcome != quarantine::admission::refused)
             m_runs.push_back({entry_index, m_now});
--- a/tests/decision/target_gate_test.cpp
+++ b/tests/decision/target_gate_test.cpp
@@ -108,7 +108,7 @@
                                     instant{1h});
         submission with_ticket = fixture.make_submission("r1");
         with_ticket.grant = *restarted.issue_grant(1, instant{1h});
-        with_ticket.presented_ticket = restarted.mint_ticket(instant{1h});
+        with_ticket.presented_ticket = restarted.issue_ticket(instant{1h});
         CHECK(effects_of<start_run>(restarted.submit(with_ticket, instant{1h}))
                   .size() == 1);
         submission with_old_ticket = fixture.make_submission("r2");
@@ -122,7 +122,7 @@
     {
         gate_fixture<> fixture;
         submission with_ticket = fixture.make_submission("r1");
-        with_ticket.presented_ticket = fixture.gate.mint_ticket(fixture.now);
+        with_ticket.presented_ticket = fixture.gate.issue_ticket(fixture.now);
         fixture.now += 11s;
         with_ticket.grant = *fixture.gate.issue_grant(1, fixture.now);
         CHECK(only_reason(fixture.submit(with_ticket)) ==
@@ -152,7 +152,7 @@
     {
         // A redemption ran in a process that died before answering. The next
         // process is leaving and renounced the request on a resend. Then the
-        // first sending is retried, pinned to the dead process. A refusal
+        // first send is retried, pinned to the dead process. A refusal
         // would let its entry run the request at the next owner. Found by the
         // search of the specification.
         gate_fixture<> fixture;
--- a/tests/promises/world.cpp
+++ b/tests/promises/world.cpp
@@ -115,7 +115,7 @@
         {
             if (target_name(target) == owners.front())
                 request_state.request_ticket =
-                    m_processes[m_current_processes[target]].gate->mint_ticket(
+                    m_processes[m_current_processes[target]].gate->issue_ticket(
                         m_now);
         }
     }
@@ -471,7 +471,7 @@
     value.generation = generation;
     value.pool_targets = targets_of(generation);
     value.slots = 1;
-    value.shares = {0, 0, 1};
+    value.queue_limits = {0, 0, 1};
     value.start_horizon = start_horizon;
     value.adoption_bound = adoption_time;
     return value;
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -137,7 +137,7 @@
         CAPTURE(path);
         crashing_targets entry("plain");
         std::string last;
-        for (int sending = 0; sending < 10; ++sending)
+        for (int attempt = 0; attempt < 10; ++attempt)
         {
             last = entry.ask_again(path);
             CHECK(contains(entry.ask_again("/once/harmless"), " 200 "));
@@ -156,7 +156,7 @@
     {
         CAPTURE(path);
         crashing_targets entry("events");
-        for (int sending = 0; sending < 10; ++sending)
+        for (int attempt = 0; attempt < 10; ++attempt)
             entry.ask_again(path);
         CHECK(entry.crashes <= max_crashes);
     }
--- a/tests/serving/stream_test.cpp
+++ b/tests/serving/stream_test.cpp
@@ -235,15 +235,15 @@
 {
     serving_fixture entry;
     std::string where;
-    std::size_t made = 0;
+    std::size_t call_count = 0;
     auto& producer = entry.add_target(
         "pieces",
-        [&made, &where](const std::string& text, std::size_t)
+        [&call_count, &where](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
                 return scripted_target::response{response_text("", ""),
                                                  end::keep};
-            return ++made == 1
+            return ++call_count == 1
                        ? scripted_target::response{response_text(
                                                        "", where + "/1\n"),
                                                    end::keep}
@@ -252,7 +252,7 @@
     where = producer.address();
     const auto caller = entry.connect();
     entry.send(*caller, request_text("/staged/", "r1", "Pieces: 11\r\n"));
-    entry.run_until([&] { return made == 2; });
+    entry.run_until([&] { return call_count == 2; });
     entry.settle();
     CHECK(producer.requests().size() == 2);
     // Network latency and transfer take 40 ms at most; the call would take 210
@@ -378,18 +378,19 @@
 TEST_CASE("stages run again from the start when a result is lost")
 {
     serving_fixture entry;
-    std::size_t made = 0;
+    std::size_t call_count = 0;
     entry.add_target(
         "pieces",
-        [&made](const std::string& text, std::size_t)
+        [&call_count](const std::string& text, std::size_t)
         {
             if (has(text, "/let-go"))
                 return scripted_target::response{response_text("", ""),
                                                  end::keep};
-            const bool is_gone = ++made == 2;
+            const bool is_gone = ++call_count == 2;
             return scripted_target::response{
                 response_text("", is_gone ? "gone\n"
-                                          : "x/" + std::to_string(made) + "\n"),
+                                          : "x/" + std::to_string(call_count) +
+                                                "\n"),
                 end::keep};
         });
     entry.add_target("events",
@@ -402,7 +403,7 @@
     CHECK(has(entry.send_and_receive(
                   request_text("/staged/", "r1", "Pieces: 11\r\n"), last_chunk),
               "data: e1"));
-    CHECK(made == 4);
+    CHECK(call_count == 4);
 }
 
 // Guards against a process that spins on shutdown until it is killed: it ends
--- a/tests/serving/zone_test.cpp
+++ b/tests/serving/zone_test.cpp
@@ -20,11 +20,11 @@
 void evacuate(serving_fixture& entry, std::vector<std::string> zones,
               std::uint64_t revision)
 {
-    decision::zone_snapshot words;
-    words.complete_as_of = revision;
+    decision::zone_snapshot snapshot;
+    snapshot.complete_as_of = revision;
     for (std::string& zone : zones)
-        words.states.push_back({std::move(zone), revision, true});
-    serving::apply_zone_evacuations(*entry.context, words, "source");
+        snapshot.states.push_back({std::move(zone), revision, true});
+    serving::apply_zone_evacuations(*entry.context, snapshot, "source");
 }
 
 } // namespace
@@ -101,13 +101,13 @@
 TEST_CASE("a request continues if its stages were done before the evacuation")
 {
     serving_fixture entry;
-    std::size_t made = 0;
+    std::size_t call_count = 0;
     entry.add_target(
         "pieces",
-        [&made](const std::string&, std::size_t)
+        [&call_count](const std::string&, std::size_t)
         {
             return scripted_target::response{
-                response_text("", "x/" + std::to_string(++made) + "\n"),
+                response_text("", "x/" + std::to_string(++call_count) + "\n"),
                 end::keep};
         });
     const auto full = [&entry](const std::string&, std::size_t number)
@@ -125,7 +125,7 @@
     entry.send_and_receive(
         request_text("/staged/", "r1", "Pieces: 11\r\nBudget: 3000\r\n"),
         "targets_full");
-    CHECK(made == 2);
+    CHECK(call_count == 2);
     CHECK(first.requests().size() + second.requests().size() >= 1);
 }
 
--- a/tests/support/gate_fixture.hpp
+++ b/tests/support/gate_fixture.hpp
@@ -45,7 +45,7 @@
         value.generation = generation;
         value.pool_targets = std::move(targets);
         value.slots = slots;
-        value.shares = {0, 0, queued};
+        value.queue_limits = {0, 0, queued};
         value.start_horizon = 10s;
         value.adoption_bound = 16s;
         return gate.set_configuration(value, now);
