--- a/packages/decision/call_planner.cpp
+++ b/packages/decision/call_planner.cpp
@@ -47,7 +47,7 @@
 
 /// Share of a target's result memory that is planned for; the rest absorbs
 /// results that are larger than estimated.
-constexpr double usable_room_share = 0.97;
+constexpr double usable_memory_share = 0.97;
 
 } // namespace
 
@@ -208,8 +208,9 @@
 void call_planner::fill(planned_call& call, stage_target& target, instant now,
                         const downstream_estimates& downstream)
 {
-    const auto room = static_cast<std::uint64_t>(
-        static_cast<double>(m_profile.result_memory_bytes) * usable_room_share);
+    const auto capacity = static_cast<std::uint64_t>(
+        static_cast<double>(m_profile.result_memory_bytes) *
+        usable_memory_share);
     std::uint64_t used = target.stored_bytes + target.reserved_bytes;
     std::size_t space = m_profile.max_pieces;
     const bool is_probe = is_probe_due(target, now);
@@ -227,14 +228,15 @@
             continue;
         const std::uint64_t bytes = state->job.result_bytes;
         const std::uint64_t fits =
-            bytes == 0 ? space : (room > used ? (room - used) / bytes : 0);
+            bytes == 0 ? space
+                       : (capacity > used ? (capacity - used) / bytes : 0);
         const std::size_t wanted = state->waiting.size();
         std::size_t count = std::min<std::size_t>(
             {wanted, space, static_cast<std::size_t>(fits)});
         // A job is kept in one call if possible: split over two it would wait
         // for the later one. Only a job too large for any call is split.
         if (count < wanted && wanted <= m_profile.max_pieces &&
-            wanted * bytes <= room)
+            wanted * bytes <= capacity)
             continue;
         for (; count > 0; --count)
         {
--- a/packages/decision/engine_selector.cpp
+++ b/packages/decision/engine_selector.cpp
@@ -30,11 +30,12 @@
 constexpr double remote_zone_cost = 150;
 
 /// Share of the prompt's shared tokens that count as cached at the engine that
-/// all entries prefer for them: other entries may have sent them there.
+/// all entries prefer for them: other entries may have sent the tokens to it.
 constexpr double affinity_hit_share = 0.6;
 
 /// Returns the prefill cost at the preferred engine of a prompt, where
-/// \a uncached_tokens is the cost by what this entry has sent there. Segments
+/// \a uncached_tokens is the cost estimated from what this entry has sent to
+/// the engine. Segments
 /// used often enough for several engines are certainly cached at each of them;
 /// an engine to which this entry has sent the segments before must not attract
 /// all of the entry's requests.
--- a/packages/decision/entry_roster.cpp
+++ b/packages/decision/entry_roster.cpp
@@ -162,14 +162,14 @@
 
 bool entry_roster::has_remaining_peers() const
 {
-    const auto outlasts = [this](const auto& other)
+    const auto remains = [this](const auto& other)
     {
         const auto since = m_others_stopping_since.find(other.first);
         return since == m_others_stopping_since.end() ||
                since->second > m_stopping_since + simultaneous_stop_window;
     };
     const auto count = static_cast<std::size_t>(
-        std::count_if(m_others.begin(), m_others.end(), outlasts));
+        std::count_if(m_others.begin(), m_others.end(), remains));
     return static_cast<double>(count) >=
            min_remaining_share * static_cast<double>(size());
 }
@@ -193,14 +193,14 @@
 std::vector<std::pair<std::string, double>>
 entry_roster::eligible_entries() const
 {
-    const auto fitness = [](bool has_catalog, bool is_stopping)
+    const auto eligibility = [](bool has_catalog, bool is_stopping)
     { return std::pair(has_catalog, !is_stopping); };
-    auto best = fitness(m_has_catalog, m_is_stopping);
+    auto best = eligibility(m_has_catalog, m_is_stopping);
     std::vector<std::pair<std::string, double>> eligible{
         {m_own_address, m_cores}};
     for (const auto& [address, status] : m_others)
     {
-        const auto other = fitness(status.has_catalog, status.is_stopping);
+        const auto other = eligibility(status.has_catalog, status.is_stopping);
         if (other > best)
             eligible.clear();
         best = std::max(best, other);
--- a/packages/decision/prompt_affinity.cpp
+++ b/packages/decision/prompt_affinity.cpp
@@ -118,19 +118,20 @@
         return {};
     // The last shared segment decides: an engine that has it cached has read
     // all segments before it.
-    const std::string& shared = prompt[prompt.size() - 2].id;
+    const std::string& shared_segment = prompt[prompt.size() - 2].id;
     std::vector<std::pair<std::uint64_t, const listed_target*>> ranked;
     ranked.reserve(engines.size());
     for (const listed_target* engine : engines)
-        ranked.emplace_back(election_rank(shared, engine->incarnation.id),
-                            engine);
-    const std::size_t count = replica_count(shared, engines.size(), now);
+        ranked.emplace_back(
+            election_rank(shared_segment, engine->incarnation.id), engine);
+    const std::size_t count =
+        replica_count(shared_segment, engines.size(), now);
     std::partial_sort(ranked.begin(),
                       ranked.begin() + static_cast<std::ptrdiff_t>(count),
                       ranked.end(), std::greater<>());
     // The request's own segment distributes the generations evenly over the
     // replicas and keeps a session at one of them.
-    const std::uint64_t own = election_rank(shared, prompt.back().id);
+    const std::uint64_t own = election_rank(shared_segment, prompt.back().id);
     return {ranked[own % count].second, count > 1};
 }
 
--- a/packages/decision/quarantine.cpp
+++ b/packages/decision/quarantine.cpp
@@ -14,11 +14,11 @@
 constexpr duration initial_refusal_time = std::chrono::minutes(1);
 constexpr duration max_refusal_time = std::chrono::minutes(10);
 
-/// Entries take turns to run a trial of a refused request. A trial may start in
-/// the first half of a turn. The second half leaves time for the trial to end
-/// and for its outcome to reach the other entries; otherwise each entry would
-/// lose a target to the request.
-constexpr duration turn_time = std::chrono::seconds(10);
+/// Entries run trials of a refused request in time slots of their own. A trial
+/// may start in the first half of a slot. The second half leaves time for the
+/// trial to end and for its outcome to reach the other entries; otherwise each
+/// entry would lose a target to the request.
+constexpr duration trial_slot_time = std::chrono::seconds(10);
 
 /// The trial of a request in doubt starts once no target has crashed for this
 /// long. Otherwise the request that does crash targets could crash the target
@@ -54,10 +54,11 @@
     return std::min(time, max_refusal_time);
 }
 
-bool is_own_turn(duration since, const ordinal& own)
+bool is_own_trial_slot(duration since, const ordinal& own)
 {
-    const auto turn = static_cast<std::size_t>(since / turn_time);
-    return turn % own.count == own.index && since % turn_time < turn_time / 2;
+    const auto slot = static_cast<std::size_t>(since / trial_slot_time);
+    return slot % own.count == own.index &&
+           since % trial_slot_time < trial_slot_time / 2;
 }
 
 /// Returns the valid claim that takes precedence, or null. Entries can receive
@@ -197,9 +198,9 @@
     const instant until =
         found.last_crash_at + refusal_time(found.incident_count());
     result.outcome = admission::refused;
-    result.retry_after = now < until ? until - now : turn_time;
+    result.retry_after = now < until ? until - now : trial_slot_time;
     if (now >= until && !has_trial(content, found, now) &&
-        is_own_turn(now - until, own_ordinal()))
+        is_own_trial_slot(now - until, own_ordinal()))
         result.outcome = admission::trial;
     return result;
 }
--- a/packages/decision/target_health.cpp
+++ b/packages/decision/target_health.cpp
@@ -30,7 +30,7 @@
 constexpr double default_latency_ns = 2e7;
 
 /// Cost factor of a request to another zone, for the round trip.
-constexpr double other_zone_cost = 1.1;
+constexpr double cross_zone_factor = 1.1;
 
 /// After this many responses of any targets, a target's averages count half. A
 /// target that was five times slower then gets one request in a hundred, which
@@ -157,7 +157,7 @@
     double expected = latency * (1 + observed.in_flight / slots) *
                       (1 + failure_cost * observed.failure_rate);
     if (target.zone != zone)
-        expected *= other_zone_cost;
+        expected *= cross_zone_factor;
     if (observed.ejected_until > now)
         expected += 1e12; // Only chosen if all are ejected.
     return expected;
--- a/packages/serving/caller_session.cpp
+++ b/packages/serving/caller_session.cpp
@@ -24,7 +24,7 @@
 
 /// Work for a caller that has disconnected must end within this time after
 /// the caller's close.
-constexpr duration disconnect_bound = std::chrono::milliseconds(500);
+constexpr duration max_disconnect_delay = std::chrono::milliseconds(500);
 
 unsigned status_of(const error_code& fault)
 {
@@ -112,10 +112,10 @@
     const duration lag = m_handler.loop_lag();
     const bool may_expect_response =
         is_orderly && (m_is_handling || !m_received.empty());
-    if (may_expect_response && lag < disconnect_bound)
+    if (may_expect_response && lag < max_disconnect_delay)
     {
-        loop_timer timer(m_loop,
-                         std::min(half_closed_grace, disconnect_bound - lag));
+        loop_timer timer(
+            m_loop, std::min(half_closed_grace, max_disconnect_delay - lag));
         error_code ignored; // The timer is never cancelled.
         co_await timer.async_wait(store_error_in(ignored));
     }
@@ -135,7 +135,7 @@
 // request would keep a target busy for a caller that disconnected long ago.
 bool caller_session::check_disconnected()
 {
-    if (m_has_disconnected || m_handler.loop_lag() < disconnect_bound)
+    if (m_has_disconnected || m_handler.loop_lag() < max_disconnect_delay)
         return m_has_disconnected;
     error_code fault;
     m_socket.non_blocking(true, fault);
@@ -266,8 +266,7 @@
 
 void caller_session::reset_connection()
 {
-    error_code
-        ignored; // Closing a broken socket may fail; the error does not matter.
+    error_code ignored; // Closing a broken socket may fail.
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
     m_socket.close(ignored);
     m_closes_after_response = true;
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -30,8 +30,8 @@
     co_return true;
 }
 
-// A trial keeps its verdict for its stages and its attempt until another target
-// end is recorded against its content.
+// A trial keeps its verdict for its stages and its attempt until another crash
+// is recorded against its content.
 void exchange::update_quarantine_verdict()
 {
     decision::quarantine& known = m_context.quarantine;
--- a/packages/serving/exchange_targets.cpp
+++ b/packages/serving/exchange_targets.cpp
@@ -72,10 +72,10 @@
         std::vector<decision::target_incarnation> targets;
         for (const auto* target : m_context.directory.serving(m_service))
             targets.push_back(target->incarnation);
-        const auto place = m_context.quarantine.trial_ordinal(content_digest(),
-                                                              m_context.now());
-        excluded.merge(
-            decision::targets_reserved_for_others(place, std::move(targets)));
+        const auto own_ordinal = m_context.quarantine.trial_ordinal(
+            content_digest(), m_context.now());
+        excluded.merge(decision::targets_reserved_for_others(
+            own_ordinal, std::move(targets)));
         return choose_target_except(excluded);
     }
     const auto* unoccupied = choose_target_except(excluded);
--- a/packages/serving/peer_messages.cpp
+++ b/packages/serving/peer_messages.cpp
@@ -77,14 +77,15 @@
 decision::target_crash read_target_crash(const peer::TargetEnd& message,
                                          instant now)
 {
-    // An end with a time in the future, as another entry may send it, would
+    // A crash with a time in the future, as another entry may send it, would
     // never expire.
-    const duration ended(std::max<std::int64_t>(0, message.ended_ago_ns()));
-    const duration began(message.began_ago_ns());
+    const duration crashed_ago(
+        std::max<std::int64_t>(0, message.ended_ago_ns()));
+    const duration started_ago(message.began_ago_ns());
     return {{message.content_high(), message.content_low()},
             {message.target(), message.born()},
-            now - std::max(began, ended),
-            now - ended,
+            now - std::max(started_ago, crashed_ago),
+            now - crashed_ago,
             message.is_refuted(),
             message.is_claim()};
 }
--- a/packages/serving/piece_batcher_results.cpp
+++ b/packages/serving/piece_batcher_results.cpp
@@ -166,11 +166,12 @@
     for (const auto& [number, status] : ended)
         if (auto job = queue.planner.take(number))
             end_job(service, queue, number, status, std::move(job->handles));
-    for (auto& late : queue.planner.take_expired(m_context.now(), m_estimates))
+    for (auto& expired_job :
+         queue.planner.take_expired(m_context.now(), m_estimates))
     {
         ++queue.expired_jobs;
-        end_job(service, queue, late.job.number, decision::job_status::expired,
-                std::move(late.handles));
+        end_job(service, queue, expired_job.job.number,
+                decision::job_status::expired, std::move(expired_job.handles));
     }
 }
 
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -34,9 +34,9 @@
 {
     if (m_states[index].status != stage_status::waiting)
         return false;
-    const auto& after = m_route.stages[index].dependencies;
+    const auto& dependencies = m_route.stages[index].dependencies;
     const bool has_inputs =
-        std::all_of(after.begin(), after.end(),
+        std::all_of(dependencies.begin(), dependencies.end(),
                     [this](std::size_t input) {
                         return m_states.at(input).status == stage_status::done;
                     });
@@ -62,9 +62,10 @@
     std::vector<std::size_t> longest;
     for (std::size_t next = index + 1; next < m_states.size(); ++next)
     {
-        const auto& needs = m_route.stages[next].dependencies;
+        const auto& dependencies = m_route.stages[next].dependencies;
         if (m_states[next].pieces == 0 ||
-            std::find(needs.begin(), needs.end(), index) == needs.end())
+            std::find(dependencies.begin(), dependencies.end(), index) ==
+                dependencies.end())
             continue;
         std::vector<std::size_t> path = longest_path_from(next);
         if (path.size() > longest.size())
@@ -87,9 +88,10 @@
 {
     for (std::size_t other = 0; other < m_states.size(); ++other)
     {
-        const auto& after = m_route.stages[other].dependencies;
+        const auto& dependencies = m_route.stages[other].dependencies;
         if (m_states[other].pieces > 0 &&
-            std::find(after.begin(), after.end(), index) != after.end())
+            std::find(dependencies.begin(), dependencies.end(), index) !=
+                dependencies.end())
             return true;
     }
     return false;
@@ -201,12 +203,12 @@
         bool is_needed = false;
         for (std::size_t other = 0; other < m_states.size(); ++other)
         {
-            const auto& after = m_route.stages[other].dependencies;
-            is_needed =
-                is_needed ||
-                (m_states[other].status != stage_status::done &&
-                 !has_fetched_inputs(other) &&
-                 std::find(after.begin(), after.end(), index) != after.end());
+            const auto& dependencies = m_route.stages[other].dependencies;
+            is_needed = is_needed ||
+                        (m_states[other].status != stage_status::done &&
+                         !has_fetched_inputs(other) &&
+                         std::find(dependencies.begin(), dependencies.end(),
+                                   index) != dependencies.end());
         }
         if (!is_needed)
             m_context.stage_executor->release(m_route.stages[index].service,
@@ -286,12 +288,12 @@
         if (has_dependents(index))
             continue;
         const catalog::stage& stage = m_route.stages[index];
-        const auto& makers = m_context.directory.serving(stage.service);
+        const auto& producers = m_context.directory.serving(stage.service);
         for (const std::string& handle : m_states[index].handles)
         {
             const std::string address =
                 m_context.protocol.producer_address(handle);
-            for (const auto* target : makers)
+            for (const auto* target : producers)
                 if (target->address == address)
                     bytes[target->zone] += stage.result_bytes;
         }
