--- a/tests/decision/entry_roster_test.cpp
+++ b/tests/decision/entry_roster_test.cpp
@@ -94,9 +94,10 @@
     CHECK(roster.batching_entry("rerank") == address(1));
 }
 
-// A batching entry that dies holds pieces of many requests with a latency goal
-// of a second or two, so its loss must be detected soon. Probing all entries
-// that often took a small entry of a fleet of 23 most of its processor time.
+// A batching entry that crashes holds pieces of many requests with a latency
+// goal of a second or two, so its loss must be detected soon. Probing all
+// entries that often took a small entry of a fleet of 23 most of its processor
+// time.
 TEST_CASE("batching entries are probed often, all others seldom")
 {
     entry_roster roster = roster_in_fleet(0, 23);
--- a/tests/decision/quarantine_mixed_world.hpp
+++ b/tests/decision/quarantine_mixed_world.hpp
@@ -132,7 +132,7 @@
             m_random() % static_cast<std::uint64_t>(time.count())));
     }
 
-    target_incarnation start_of(std::size_t index) const
+    target_incarnation incarnation_of(std::size_t index) const
     {
         return {"t" + std::to_string(index), m_targets[index].started_ms};
     }
@@ -221,7 +221,7 @@
         pending.target = free[m_random() % free.size()];
         pending.started_at = m_now;
         if (pending.is_isolated)
-            guard.note_sent(pending.content, start_of(pending.target));
+            guard.note_sent(pending.content, incarnation_of(pending.target));
         m_runs.push_back(pending);
         if (is_poison(pending.content) &&
             m_now >= stats_of(pending.content).known_from)
@@ -235,7 +235,7 @@
         std::vector<target_incarnation> up;
         for (std::size_t index = 0; index < m_targets.size(); ++index)
             if (m_now >= m_targets[index].restarts_at)
-                up.push_back(start_of(index));
+                up.push_back(incarnation_of(index));
         std::set<target_incarnation> excluded;
         if (pending.is_isolated)
             excluded = guard.targets_of_others(pending.content);
@@ -245,7 +245,7 @@
         std::vector<std::size_t> free;
         for (std::size_t index = 0; index < m_targets.size(); ++index)
             if (m_now >= m_targets[index].restarts_at &&
-                !excluded.contains(start_of(index)))
+                !excluded.contains(incarnation_of(index)))
                 free.push_back(index);
         return free;
     }
@@ -280,7 +280,8 @@
                 continue;
             }
             if (has_crashed[pending.target])
-                guard.note_crash({pending.content, start_of(pending.target),
+                guard.note_crash({pending.content,
+                                  incarnation_of(pending.target),
                                   pending.started_at, m_now, false},
                                  m_now);
             else
@@ -290,7 +291,8 @@
             }
             answer(pending);
             if (pending.is_isolated)
-                guard.note_finished(pending.content, start_of(pending.target));
+                guard.note_finished(pending.content,
+                                    incarnation_of(pending.target));
         }
         for (std::size_t index = 0; index < m_targets.size(); ++index)
             if (has_crashed[index])
--- a/tests/decision/roster_world_test.cpp
+++ b/tests/decision/roster_world_test.cpp
@@ -304,9 +304,9 @@
     }
 }
 
-// Guards against work that stays with a batching entry that has died: it must
-// go to one other entry soon.
-TEST_CASE("after the death of a batching entry, one other entry batches soon")
+// Guards against work that stays with a batching entry that has crashed: it
+// must go to one other entry soon.
+TEST_CASE("after the loss of a batching entry, one other entry batches soon")
 {
     for (std::uint64_t seed = 1; seed <= 30; ++seed)
     {
--- a/tests/decision/target_gate_test.cpp
+++ b/tests/decision/target_gate_test.cpp
@@ -79,7 +79,7 @@
 
     TEST_CASE("a restarted process refuses requests that may have run before")
     {
-        // The sidecar ran the redemption, died and was restarted without its
+        // The sidecar ran the redemption, crashed and was restarted without its
         // ledger. It must refuse every request without a ticket until no
         // caller resends anymore, as the request may have run.
         gate_fixture<>::gate_type restarted{{"booking-1", 12, instant{1h}},
@@ -132,7 +132,7 @@
     TEST_CASE(
         "a later process must not refuse a request pinned to an earlier one")
     {
-        // An entry sent the redemption to a process that then died, and
+        // An entry sent the redemption to a process that then crashed, and
         // resubmits to the next process of the target. A refusal because of
         // the entry's older manifest would be taken to mean that nothing
         // ran. Found by the random search of test_promises.
@@ -150,9 +150,9 @@
     TEST_CASE(
         "a renounced request is not refused if pinned to an earlier process")
     {
-        // A redemption ran in a process that died before answering. The next
+        // A redemption ran in a process that crashed before answering. The next
         // process is leaving and renounced the request on a resend. Then the
-        // first send is retried, pinned to the dead process. A refusal
+        // first send is retried, pinned to the crashed process. A refusal
         // would let its entry run the request at the next owner. Found by the
         // search of the specification.
         gate_fixture<> fixture;
--- a/tests/decision/target_selection_test.cpp
+++ b/tests/decision/target_selection_test.cpp
@@ -32,7 +32,8 @@
 
 } // namespace
 
-// Guards against callers that wait for the same dead target again and again.
+// Guards against callers that wait for the same unreachable target again and
+// again.
 TEST_CASE("a target that does not answer twice is avoided, then tried again")
 {
     target_health health(1);
--- a/tests/serving/exchange_test.cpp
+++ b/tests/serving/exchange_test.cpp
@@ -436,7 +436,7 @@
 }
 
 // Guards against sending a request on a connection to a former process.
-TEST_CASE("connections to a former start of a target are not reused")
+TEST_CASE("connections to a former incarnation of a target are not reused")
 {
     serving_fixture entry;
     auto& target = entry.add_target("plain", complete_response);
--- a/tests/support/serving_fixture.cpp
+++ b/tests/support/serving_fixture.cpp
@@ -180,19 +180,19 @@
 }
 
 void serving_fixture::execute(const std::string& service,
-                              decision::stage_job job, pending_job_ptr wait)
+                              decision::stage_job job, pending_job_ptr pending)
 {
     jobs.push_back(job);
     batcher->add(
         service, std::move(job),
-        [wait](job_outcome outcome)
+        [pending](job_outcome outcome)
         {
-            const bool is_wanted = !wait->is_cancelled();
-            wait->set_outcome(std::move(outcome));
+            const bool is_wanted = !pending->is_cancelled();
+            pending->set_outcome(std::move(outcome));
             return is_wanted;
         },
-        [wait] { return !wait->is_cancelled(); },
-        [wait] { wait->set_inputs_fetched(); });
+        [pending] { return !pending->is_cancelled(); },
+        [pending] { pending->set_inputs_fetched(); });
 }
 
 void serving_fixture::release(const std::string& service,
--- a/tests/support/serving_fixture.hpp
+++ b/tests/support/serving_fixture.hpp
@@ -62,7 +62,7 @@
     std::vector<decision::stage_job> jobs; ///< All jobs requested so far.
 
     void execute(const std::string& service, decision::stage_job job,
-                 serving::pending_job_ptr wait) override;
+                 serving::pending_job_ptr pending) override;
     void release(const std::string& service,
                  std::vector<std::string> handles) override;
 
