--- a/packages/decision/target_gate_refusals.ipp
+++ b/packages/decision/target_gate_refusals.ipp
@@ -99,7 +99,7 @@
     const instant quarantine_end =
         m_self.started + m_configuration.start_horizon;
     // An earlier process of this target may have run the request and then
-    // died, losing its ledger. No caller resends after the horizon, so later
+    // crashed, losing its ledger. No caller resends after the horizon, so later
     // submissions belong to new requests.
     if (Safeguards::has_restart_quarantine && now < quarantine_end)
         return unknown_outcome(reason::owner_restarted, quarantine_end - now);
