--- a/packages/decision/call_planner.hpp
+++ b/packages/decision/call_planner.hpp
@@ -35,7 +35,7 @@
     std::function<duration(const stage_job&, duration call, bool is_late)>
         remaining_time = [](const stage_job&, duration, bool)
     { return duration::zero(); };
-    /// Whether a request of which no stage was made yet may start now.
+    /// Whether a request of which no stage was started yet may start now.
     std::function<bool(const stage_job&, duration call)> may_start =
         [](const stage_job&, duration) { return true; };
 };
@@ -48,10 +48,13 @@
 class call_planner
 {
 public:
-    explicit call_planner(catalog::call_profile shape) : m_shape(shape) {}
+    explicit call_planner(catalog::call_profile profile) : m_profile(profile) {}
 
-    void set_shape(const catalog::call_profile& shape) { m_shape = shape; }
-    const catalog::call_profile& shape() const { return m_shape; }
+    void set_profile(const catalog::call_profile& profile)
+    {
+        m_profile = profile;
+    }
+    const catalog::call_profile& profile() const { return m_profile; }
 
     /// Sets the targets that may get calls, with their zones.
     void set_targets(const std::map<target_incarnation, std::string>& zones);
@@ -76,11 +79,11 @@
     /// occupy the target's memory until they expire.
     void note_call_unanswered(const planned_call& call, instant now);
 
-    /// Records that \a target made \a piece and stored the result as
+    /// Records that \a target completed \a piece and stored the result as
     /// \a handle.
-    void note_piece_made(const piece_ref& piece,
-                         const target_incarnation& target,
-                         const std::string& handle, instant now);
+    void note_piece_completed(const piece_ref& piece,
+                              const target_incarnation& target,
+                              const std::string& handle, instant now);
     /// Puts \a piece back among the waiting ones.
     void requeue_piece(const piece_ref& piece);
     /// Records that the target of \a call may have crashed because of it.
@@ -88,12 +91,12 @@
     /// Records that \a target had no memory left for a result.
     void note_memory_full(const target_incarnation& target, instant now);
 
-    /// Records that the result \a handle, made by \a target, was released.
+    /// Records that the result \a handle, produced by \a target, was released.
     void note_released(const target_incarnation& target,
                        const std::string& handle);
 
-    /// A job removed from the planner, with the handles of the results made so
-    /// far in the order of the pieces.
+    /// A job removed from the planner, with the handles of the results produced
+    /// so far in the order of the pieces.
     struct removed_job
     {
         stage_job job;
@@ -135,20 +138,20 @@
     std::size_t waiting_pieces() const { return m_waiting_pieces; }
     /// Returns the number of waiting pieces of jobs that can be on time.
     std::size_t waiting_pieces_on_time() const;
-    /// Returns the number of jobs in the planner, started ones included.
-    std::size_t waiting_jobs() const { return m_jobs.size(); }
+    /// Returns the number of jobs, started ones included.
+    std::size_t job_count() const { return m_jobs.size(); }
 
 private:
     struct job_state
     {
         stage_job job;
         std::vector<std::uint32_t> waiting; ///< Pieces that are in no call.
-        std::map<std::uint32_t, std::string> made; ///< Handles, by piece.
+        std::map<std::uint32_t, std::string> results; ///< By piece.
         std::uint32_t crashes = 0; ///< See note_suspected_crash().
 
         bool is_in_progress() const
         {
-            return waiting.size() + made.size() < job.pieces;
+            return waiting.size() + results.size() < job.pieces;
         }
     };
 
@@ -165,10 +168,10 @@
     bool may_join(const job_state& state, const planned_call& call) const;
     void fill(planned_call& call, stage_target& target, instant now,
               const downstream_estimates& downstream);
-    void requeue_results_of(const stage_target& maker);
+    void requeue_results_of(const stage_target& producer);
     removed_job remove(std::map<std::uint64_t, job_state>::iterator entry);
 
-    catalog::call_profile m_shape;
+    catalog::call_profile m_profile;
     std::map<target_incarnation, stage_target> m_targets;
     std::map<std::uint64_t, job_state> m_jobs;
     std::vector<std::uint64_t> m_finished;
--- a/packages/decision/entry_roster.cpp
+++ b/packages/decision/entry_roster.cpp
@@ -20,7 +20,7 @@
 
 /// How often a batching entry is probed, and after how many probe intervals
 /// without an answer its work goes to another entry. With fewer, a busy entry
-/// is taken for a dead one; with more, requests miss their latency goals.
+/// counts as lost; with more, requests miss their latency goals.
 constexpr duration short_interval = std::chrono::milliseconds(100);
 constexpr int short_timeout_intervals = 5;
 
@@ -60,7 +60,7 @@
 /// entry refuses retries at any other entry. If so many entries stay up, few
 /// callers meet a second entry that refuses them; most callers have no retry
 /// left for that.
-constexpr double min_outlasting_share = 0.75;
+constexpr double min_remaining_share = 0.75;
 
 /// How many other entries are listed in an answer, and how many if the receiver
 /// knows less than half of them: 4 KB at most.
@@ -160,18 +160,18 @@
         clear_elections();
 }
 
-bool entry_roster::is_outlasted() const
+bool entry_roster::has_remaining_peers() const
 {
-    const auto outlasts = [this](const auto& other)
+    const auto remains = [this](const auto& other)
     {
         const auto since = m_others_stopping_since.find(other.first);
         return since == m_others_stopping_since.end() ||
                since->second > m_stopping_since + simultaneous_stop_window;
     };
     const auto count = static_cast<std::size_t>(
-        std::count_if(m_others.begin(), m_others.end(), outlasts));
+        std::count_if(m_others.begin(), m_others.end(), remains));
     return static_cast<double>(count) >=
-           min_outlasting_share * static_cast<double>(size());
+           min_remaining_share * static_cast<double>(size());
 }
 
 void entry_roster::note_lost(const std::string& address)
@@ -193,14 +193,14 @@
 std::vector<std::pair<std::string, double>>
 entry_roster::eligible_entries() const
 {
-    const auto fitness = [](bool has_catalog, bool is_stopping)
+    const auto eligibility = [](bool has_catalog, bool is_stopping)
     { return std::pair(has_catalog, !is_stopping); };
-    auto best = fitness(m_has_catalog, m_is_stopping);
+    auto best = eligibility(m_has_catalog, m_is_stopping);
     std::vector<std::pair<std::string, double>> eligible{
         {m_own_address, m_cores}};
     for (const auto& [address, status] : m_others)
     {
-        const auto other = fitness(status.has_catalog, status.is_stopping);
+        const auto other = eligibility(status.has_catalog, status.is_stopping);
         if (other > best)
             eligible.clear();
         best = std::max(best, other);
--- a/packages/decision/quarantine.cpp
+++ b/packages/decision/quarantine.cpp
@@ -14,11 +14,11 @@
 constexpr duration initial_refusal_time = std::chrono::minutes(1);
 constexpr duration max_refusal_time = std::chrono::minutes(10);
 
-/// Entries take turns to run a trial of a refused request. A trial may start in
-/// the first half of a turn. The second half leaves time for the trial to end
-/// and for its outcome to reach the other entries; otherwise each entry would
-/// lose a target to the request.
-constexpr duration turn_time = std::chrono::seconds(10);
+/// Entries run trials of a refused request in time slots of their own. A trial
+/// may start in the first half of a slot. The second half leaves time for the
+/// trial to end and for its outcome to reach the other entries; otherwise each
+/// entry would lose a target to the request.
+constexpr duration trial_slot_time = std::chrono::seconds(10);
 
 /// The trial of a request in doubt starts once no target has crashed for this
 /// long. Otherwise the request that does crash targets could crash the target
@@ -54,10 +54,11 @@
     return std::min(time, max_refusal_time);
 }
 
-bool is_own_turn(duration since, const ordinal& own)
+bool is_own_trial_slot(duration since, const ordinal& own)
 {
-    const auto turn = static_cast<std::size_t>(since / turn_time);
-    return turn % own.count == own.index && since % turn_time < turn_time / 2;
+    const auto slot = static_cast<std::size_t>(since / trial_slot_time);
+    return slot % own.count == own.index &&
+           since % trial_slot_time < trial_slot_time / 2;
 }
 
 /// Returns the valid claim that takes precedence, or null. Entries can receive
@@ -173,8 +174,8 @@
 }
 
 quarantine::verdict
-quarantine::judge(const digest& content, instant now,
-                  const std::function<ordinal()>& own_ordinal) const
+quarantine::evaluate(const digest& content, instant now,
+                     const std::function<ordinal()>& own_ordinal) const
 {
     if (m_crashes.is_empty() || was_served_recently(content, now))
         return {};
@@ -186,7 +187,7 @@
     if (found.incident_count() < max_incidents)
         return result;
     if (is_in_doubt(found))
-        return judge_in_doubt(content, found, now);
+        return evaluate_in_doubt(content, found, now);
     // By then the crashes that other entries saw on these targets are known.
     if (now < found.incidents[max_incidents - 1].crashed_at + quiet_time &&
         own_ordinal().count > 1)
@@ -197,9 +198,9 @@
     const instant until =
         found.last_crash_at + refusal_time(found.incident_count());
     result.outcome = admission::refused;
-    result.retry_after = now < until ? until - now : turn_time;
+    result.retry_after = now < until ? until - now : trial_slot_time;
     if (now >= until && !has_trial(content, found, now) &&
-        is_own_turn(now - until, own_ordinal()))
+        is_own_trial_slot(now - until, own_ordinal()))
         result.outcome = admission::trial;
     return result;
 }
@@ -223,9 +224,8 @@
 // served was refused by a whole service for a minute in this way. Only a run
 // apart from the suspects can show whether it is harmless; resends that arrive
 // meanwhile wait for the outcome of that run.
-quarantine::verdict quarantine::judge_in_doubt(const digest& content,
-                                               const crash_log::evidence& found,
-                                               instant now) const
+quarantine::verdict quarantine::evaluate_in_doubt(
+    const digest& content, const crash_log::evidence& found, instant now) const
 {
     verdict result{admission::held, found.incident_count(), trial_time};
     const crash_log::claim* first = leading_claim(found.claims, now);
--- a/packages/serving/exchange.hpp
+++ b/packages/serving/exchange.hpp
@@ -61,7 +61,8 @@
     exchange(const exchange&) = delete;
     exchange& operator=(const exchange&) = delete;
 
-    /// Handles the request until its answer is sent or the caller has left.
+    /// Handles the request until its answer is sent or the caller has
+    /// disconnected.
     awaitable<void> run();
 
 private:
@@ -115,7 +116,8 @@
     /// \a needs_stages, all targets of a service that a stage needs.
     bool is_service_evacuated(bool needs_stages) const;
     bool may_wait_for_cold_target() const;
-    forwarding_metadata marks_for(const decision::listed_target& target);
+    forwarding_metadata
+    forwarding_metadata_for(const decision::listed_target& target);
     /// Returns how long the next attempt may wait for the answer's head.
     duration attempt_timeout() const;
     void record_attempt_start(const decision::target_incarnation& target);
@@ -138,7 +140,7 @@
     entry_context& m_context;
     std::shared_ptr<caller_session> m_session;
     http_request m_request;
-    request_metadata m_facts;
+    request_metadata m_metadata;
     mutable std::optional<decision::digest> m_content_digest;
     catalog::catalog_ptr m_catalog;
     const catalog::route* m_route = nullptr;
@@ -162,7 +164,7 @@
     std::optional<instant> m_cold_retry_at;
     std::unique_ptr<stage_runner> m_stages;
     std::shared_ptr<target_call> m_call;
-    std::optional<std::uint64_t> m_last_event;
+    std::optional<std::uint64_t> m_last_event_id; ///< Of the relayed events.
     bool m_is_head_sent = false;
     /// Milliseconds from the start of the request to the end of each stage.
     std::string m_stage_times;
@@ -171,7 +173,8 @@
     bool m_is_prompt_read = false; ///< By the engine, in the newest attempt.
     /// Whether the outcome of the newest attempt is already recorded.
     bool m_is_outcome_recorded = false;
-    double m_tokens_ahead = 0;
+    /// Prefill tokens that the newest attempt added at its engine.
+    double m_prefill_tokens = 0;
     decision::target_incarnation m_last_target;
     instant m_sent_at{};          ///< Of the newest attempt.
     instant m_stages_done_at{};   ///< When the stages ended.
--- a/packages/serving/exchange_quarantine.cpp
+++ b/packages/serving/exchange_quarantine.cpp
@@ -30,8 +30,8 @@
     co_return true;
 }
 
-// A trial keeps its verdict for its stages and its attempt until another target
-// end is recorded against its content.
+// A trial keeps its verdict for its stages and its attempt until another crash
+// is recorded against its content.
 void exchange::update_quarantine_verdict()
 {
     decision::quarantine& known = m_context.quarantine;
@@ -40,7 +40,7 @@
             m_verdict.incidents)
         return;
     const instant now = m_context.now();
-    m_verdict = known.judge(
+    m_verdict = known.evaluate(
         content_digest(), now,
         [this] { return m_context.ordinal_for(to_text(content_digest())); });
     m_is_trial = m_verdict.outcome == decision::quarantine::admission::trial;
@@ -51,7 +51,7 @@
     known.note_trial(content_digest(), now);
     runtime::event("content_tried")
         .with("content", to_text(content_digest()))
-        .with("request", m_facts.id)
+        .with("request", m_metadata.id)
         .with("ends", m_verdict.incidents)
         .warn();
 }
--- a/packages/serving/piece_batcher_results.cpp
+++ b/packages/serving/piece_batcher_results.cpp
@@ -29,8 +29,8 @@
         switch (results[index].status)
         {
         case piece_result::status_code::succeeded:
-            queue.planner.note_piece_made(ref, plan.target,
-                                          results[index].handle, now);
+            queue.planner.note_piece_completed(ref, plan.target,
+                                               results[index].handle, now);
             if (queue.planner.find(ref.job) == nullptr)
                 queue_release(queue, results[index].handle);
             break;
@@ -83,9 +83,9 @@
         queue.planner.requeue_piece(ref);
 }
 
-void piece_batcher::note_target_ends(const service_queue& queue,
-                                     const decision::planned_call& plan,
-                                     instant began)
+void piece_batcher::note_target_crashes(const service_queue& queue,
+                                        const decision::planned_call& plan,
+                                        instant started_at)
 {
     std::uint64_t last_job = 0;
     for (const decision::piece_ref& ref : plan.pieces)
@@ -93,9 +93,9 @@
         const decision::stage_job* job = queue.planner.find(ref.job);
         if (job == nullptr || ref.job == std::exchange(last_job, ref.job))
             continue;
-        record_target_end(
+        record_target_crash(
             m_context,
-            {job->content, plan.target, began, m_context.now(), false},
+            {job->content, plan.target, started_at, m_context.now(), false},
             job->request);
     }
 }
@@ -166,24 +166,25 @@
     for (const auto& [number, status] : ended)
         if (auto job = queue.planner.take(number))
             end_job(service, queue, number, status, std::move(job->handles));
-    for (auto& late : queue.planner.take_expired(m_context.now(), m_estimates))
+    for (auto& expired_job :
+         queue.planner.take_expired(m_context.now(), m_estimates))
     {
         ++queue.expired_jobs;
-        end_job(service, queue, late.job.number, decision::job_status::expired,
-                std::move(late.handles));
+        end_job(service, queue, expired_job.job.number,
+                decision::job_status::expired, std::move(expired_job.handles));
     }
 }
 
 void piece_batcher::summarize(const std::string& service, service_queue& queue)
 {
-    if (queue.calls == 0 && queue.planner.waiting_jobs() == 0)
+    if (queue.calls == 0 && queue.planner.job_count() == 0)
         return;
     const instant now = m_context.now();
     runtime::event("service_gathered")
         .with("service", service)
         .with("calls", queue.calls)
         .with("pieces", queue.pieces)
-        .with("waiting_jobs", queue.planner.waiting_jobs())
+        .with("waiting_jobs", queue.planner.job_count())
         .with("waiting_pieces", queue.planner.waiting_pieces())
         .with("wait_ms",
               static_cast<std::uint64_t>(
--- a/packages/serving/stage_runner.cpp
+++ b/packages/serving/stage_runner.cpp
@@ -15,33 +15,33 @@
 } // namespace
 
 stage_runner::stage_runner(entry_context& context, const catalog::route& route,
-                           const request_metadata& facts,
+                           const request_metadata& metadata,
                            const decision::digest& content, std::string zone,
                            duration priority_delay, instant due,
                            instant expires)
-    : m_context(context), m_route(route), m_facts(facts), m_content(content),
-      m_zone(std::move(zone)), m_priority_delay(priority_delay), m_due(due),
-      m_expires(expires),
+    : m_context(context), m_route(route), m_metadata(metadata),
+      m_content(content), m_zone(std::move(zone)),
+      m_priority_delay(priority_delay), m_due(due), m_expires(expires),
       m_changed(std::make_shared<auto_reset_event>(context.loop)),
       m_states(route.stages.size())
 {
     for (std::size_t index = 0; index < m_states.size(); ++index)
         m_states[index].pieces =
-            index < facts.pieces.size() ? facts.pieces[index] : 0;
+            index < metadata.pieces.size() ? metadata.pieces[index] : 0;
 }
 
 bool stage_runner::can_start(std::size_t index) const
 {
     if (m_states[index].status != stage_status::waiting)
         return false;
-    const auto& after = m_route.stages[index].dependencies;
+    const auto& dependencies = m_route.stages[index].dependencies;
     const bool has_inputs =
-        std::all_of(after.begin(), after.end(),
+        std::all_of(dependencies.begin(), dependencies.end(),
                     [this](std::size_t input) {
                         return m_states.at(input).status == stage_status::done;
                     });
     // A stage beside a longer chain waits until the rest of that chain is as
-    // short as its own: results made earlier would only take up memory.
+    // short as its own: results produced earlier would only take up memory.
     return has_inputs &&
            longest_path_from(index).size() >= longest_remaining_path();
 }
@@ -62,9 +62,10 @@
     std::vector<std::size_t> longest;
     for (std::size_t next = index + 1; next < m_states.size(); ++next)
     {
-        const auto& needs = m_route.stages[next].dependencies;
+        const auto& dependencies = m_route.stages[next].dependencies;
         if (m_states[next].pieces == 0 ||
-            std::find(needs.begin(), needs.end(), index) == needs.end())
+            std::find(dependencies.begin(), dependencies.end(), index) ==
+                dependencies.end())
             continue;
         std::vector<std::size_t> path = longest_path_from(next);
         if (path.size() > longest.size())
@@ -87,9 +88,10 @@
 {
     for (std::size_t other = 0; other < m_states.size(); ++other)
     {
-        const auto& after = m_route.stages[other].dependencies;
+        const auto& dependencies = m_route.stages[other].dependencies;
         if (m_states[other].pieces > 0 &&
-            std::find(after.begin(), after.end(), index) != after.end())
+            std::find(dependencies.begin(), dependencies.end(), index) !=
+                dependencies.end())
             return true;
     }
     return false;
@@ -139,7 +141,7 @@
     state.status = stage_status::running;
     state.pending = std::make_shared<pending_job>(m_changed);
     decision::stage_job job;
-    job.request = m_facts.id;
+    job.request = m_metadata.id;
     job.content = m_content;
     job.stage = static_cast<std::uint32_t>(index);
     job.pieces = state.pieces;
@@ -155,13 +157,14 @@
             job.downstream.push_back(
                 {m_route.stages[later].service, m_states[later].pieces});
     if (stage.dependencies.empty())
-        job.key = m_facts.piece_key;
+        job.key = m_metadata.piece_key;
     else
         job.inputs = input_handles(index);
     for (const std::size_t input : stage.dependencies)
         job.input_bytes +=
             m_route.stages.at(input).result_bytes * m_states.at(input).pieces;
-    m_context.pieces->execute(stage.service, std::move(job), state.pending);
+    m_context.stage_executor->execute(stage.service, std::move(job),
+                                      state.pending);
 }
 
 std::optional<decision::job_status> stage_runner::collect_outcomes()
@@ -200,16 +203,16 @@
         bool is_needed = false;
         for (std::size_t other = 0; other < m_states.size(); ++other)
         {
-            const auto& after = m_route.stages[other].dependencies;
-            is_needed =
-                is_needed ||
-                (m_states[other].status != stage_status::done &&
-                 !has_fetched_inputs(other) &&
-                 std::find(after.begin(), after.end(), index) != after.end());
+            const auto& dependencies = m_route.stages[other].dependencies;
+            is_needed = is_needed ||
+                        (m_states[other].status != stage_status::done &&
+                         !has_fetched_inputs(other) &&
+                         std::find(dependencies.begin(), dependencies.end(),
+                                   index) != dependencies.end());
         }
         if (!is_needed)
-            m_context.pieces->release(m_route.stages[index].service,
-                                      std::exchange(state.handles, {}));
+            m_context.stage_executor->release(m_route.stages[index].service,
+                                              std::exchange(state.handles, {}));
     }
 }
 
@@ -247,7 +250,7 @@
     }
 }
 
-std::string stage_runner::completion_times(instant began) const
+std::string stage_runner::completion_times(instant started_at) const
 {
     std::string text;
     for (const stage_state& state : m_states)
@@ -256,7 +259,7 @@
             continue;
         if (!text.empty())
             text += ' ';
-        text += std::to_string(whole_milliseconds(state.done_at - began));
+        text += std::to_string(whole_milliseconds(state.done_at - started_at));
     }
     return text;
 }
@@ -285,12 +288,12 @@
         if (has_dependents(index))
             continue;
         const catalog::stage& stage = m_route.stages[index];
-        const auto& makers = m_context.directory.serving(stage.service);
+        const auto& producers = m_context.directory.serving(stage.service);
         for (const std::string& handle : m_states[index].handles)
         {
             const std::string address =
                 m_context.protocol.producer_address(handle);
-            for (const auto* target : makers)
+            for (const auto* target : producers)
                 if (target->address == address)
                     bytes[target->zone] += stage.result_bytes;
         }
@@ -306,8 +309,8 @@
         if (state.pending)
             state.pending->cancel();
         if (!state.handles.empty())
-            m_context.pieces->release(m_route.stages[index].service,
-                                      std::exchange(state.handles, {}));
+            m_context.stage_executor->release(m_route.stages[index].service,
+                                              std::exchange(state.handles, {}));
     }
 }
 
--- a/tests/decision/roster_world_test.cpp
+++ b/tests/decision/roster_world_test.cpp
@@ -60,11 +60,12 @@
     /// most entries outlast them.
     std::size_t outlasted() const
     {
-        return static_cast<std::size_t>(std::count_if(
-            m_entries.begin(), m_entries.end(),
-            [](const entry& counted) {
-                return counted.stopping_since && counted.roster->is_outlasted();
-            }));
+        return static_cast<std::size_t>(
+            std::count_if(m_entries.begin(), m_entries.end(),
+                          [](const entry& counted) {
+                              return counted.stopping_since &&
+                                     counted.roster->has_remaining_peers();
+                          }));
     }
 
     void freeze(std::size_t index, duration time)
@@ -303,9 +304,9 @@
     }
 }
 
-// Guards against work that stays with a batching entry that has died: it must
-// go to one other entry soon.
-TEST_CASE("after the death of a batching entry, one other entry batches soon")
+// Guards against work that stays with a batching entry that has crashed: it
+// must go to one other entry soon.
+TEST_CASE("after the loss of a batching entry, one other entry batches soon")
 {
     for (std::uint64_t seed = 1; seed <= 30; ++seed)
     {
--- a/tests/decision/target_gate_test.cpp
+++ b/tests/decision/target_gate_test.cpp
@@ -79,7 +79,7 @@
 
     TEST_CASE("a restarted process refuses requests that may have run before")
     {
-        // The sidecar ran the redemption, died and was restarted without its
+        // The sidecar ran the redemption, crashed and was restarted without its
         // ledger. It must refuse every request without a ticket until no
         // caller resends anymore, as the request may have run.
         gate_fixture<>::gate_type restarted{{"booking-1", 12, instant{1h}},
@@ -108,7 +108,7 @@
                                     instant{1h});
         submission with_ticket = fixture.make_submission("r1");
         with_ticket.grant = *restarted.issue_grant(1, instant{1h});
-        with_ticket.presented_ticket = restarted.mint_ticket(instant{1h});
+        with_ticket.presented_ticket = restarted.issue_ticket(instant{1h});
         CHECK(effects_of<start_run>(restarted.submit(with_ticket, instant{1h}))
                   .size() == 1);
         submission with_old_ticket = fixture.make_submission("r2");
@@ -122,7 +122,7 @@
     {
         gate_fixture<> fixture;
         submission with_ticket = fixture.make_submission("r1");
-        with_ticket.presented_ticket = fixture.gate.mint_ticket(fixture.now);
+        with_ticket.presented_ticket = fixture.gate.issue_ticket(fixture.now);
         fixture.now += 11s;
         with_ticket.grant = *fixture.gate.issue_grant(1, fixture.now);
         CHECK(only_reason(fixture.submit(with_ticket)) ==
@@ -132,7 +132,7 @@
     TEST_CASE(
         "a later process must not refuse a request pinned to an earlier one")
     {
-        // An entry sent the redemption to a process that then died, and
+        // An entry sent the redemption to a process that then crashed, and
         // resubmits to the next process of the target. A refusal because of
         // the entry's older manifest would be taken to mean that nothing
         // ran. Found by the random search of test_promises.
@@ -150,9 +150,9 @@
     TEST_CASE(
         "a renounced request is not refused if pinned to an earlier process")
     {
-        // A redemption ran in a process that died before answering. The next
+        // A redemption ran in a process that crashed before answering. The next
         // process is leaving and renounced the request on a resend. Then the
-        // first sending is retried, pinned to the dead process. A refusal
+        // first send is retried, pinned to the crashed process. A refusal
         // would let its entry run the request at the next owner. Found by the
         // search of the specification.
         gate_fixture<> fixture;
--- a/tests/serving/poison_request_test.cpp
+++ b/tests/serving/poison_request_test.cpp
@@ -127,7 +127,7 @@
 // the other: it ended 16 of 18 engines within twelve seconds, with everything
 // that ran on them. The request crashes its target and the caller gets a 502.
 // The caller repeats it under a new id, and the entry, which does not recognize
-// it, sends it to the next target. All ends had the same route, different
+// it, sends it to the next target. All crashes had the same route, different
 // request ids, and the same digest of path, body and account, which tells such
 // a request from targets that crash by themselves.
 TEST_CASE("a request that crashes its targets is quarantined")
@@ -137,7 +137,7 @@
         CAPTURE(path);
         crashing_targets entry("plain");
         std::string last;
-        for (int sending = 0; sending < 10; ++sending)
+        for (int attempt = 0; attempt < 10; ++attempt)
         {
             last = entry.ask_again(path);
             CHECK(contains(entry.ask_again("/once/harmless"), " 200 "));
@@ -156,7 +156,7 @@
     {
         CAPTURE(path);
         crashing_targets entry("events");
-        for (int sending = 0; sending < 10; ++sending)
+        for (int attempt = 0; attempt < 10; ++attempt)
             entry.ask_again(path);
         CHECK(entry.crashes <= max_crashes);
     }
--- a/tests/support/serving_fixture.hpp
+++ b/tests/support/serving_fixture.hpp
@@ -57,12 +57,12 @@
     runtime::paused_clock time;
     plain_dialect dialect;
     std::unique_ptr<serving::entry_context> context;
-    std::unique_ptr<serving::piece_batcher> piece_gatherer;
+    std::unique_ptr<serving::piece_batcher> batcher;
     std::unique_ptr<serving::request_server> server;
     std::vector<decision::stage_job> jobs; ///< All jobs requested so far.
 
     void execute(const std::string& service, decision::stage_job job,
-                 serving::pending_job_ptr wait) override;
+                 serving::pending_job_ptr pending) override;
     void release(const std::string& service,
                  std::vector<std::string> handles) override;
 
